--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -436,8 +436,8 @@
         c->self, c->view.leader, c->view.leads, c->view.term,
         control_newest_version(c), registry_count(c->registry),
         c->fresh_entries, load_sum_reporters(c->own_loads),
-        crash_ledger_held(c->crashes), crash_ledger_suspects(c->crashes),
-        crash_ledger_ends(c->crashes));
+        crash_ledger_quarantined(c->crashes),
+        crash_ledger_suspects(c->crashes), crash_ledger_ends(c->crashes));
     if (c->duties != NULL) {
         duties_dump(c->duties, text);
     }
--- a/carobloomd/control/crash_reports.c
+++ b/carobloomd/control/crash_reports.c
@@ -23,8 +23,8 @@
     if (c->told_orders == crash_ledger_cursor(c->crashes)) {
         return;
     }
-    GArray *orders = crash_ledger_since(c->crashes, &c->told_orders, G_MAXUINT,
-                                        control_now(c));
+    GArray *orders = crash_ledger_orders_since(c->crashes, &c->told_orders,
+                                               G_MAXUINT, control_now(c));
     for (guint i = 0; i < orders->len; i++) {
         const quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
@@ -44,15 +44,15 @@
 {
     gint64 now = control_now(c);
     gint64 since_us = now - c->kept_us;
-    guint held = crash_ledger_held(c->crashes);
+    guint held = crash_ledger_quarantined(c->crashes);
     gboolean changed = c->kept_orders != crash_ledger_cursor(c->crashes);
     if (since_us < KEEP_US ||
         (!changed && (held == 0 || since_us < KEEP_AGAIN_US))) {
         return;
     }
     guint64 cursor = 0;
-    GArray *orders =
-        crash_ledger_since(c->crashes, &cursor, QUARANTINE_ORDERS_MAX, now);
+    GArray *orders = crash_ledger_orders_since(c->crashes, &cursor,
+                                               QUARANTINE_ORDERS_MAX, now);
     c->kept_us = now;
     c->kept_orders = crash_ledger_cursor(c->crashes);
     task_send(c->log_task,
@@ -65,11 +65,11 @@
 void
 crash_reports_judge(control_t *c)
 {
-    crash_ledger_judge(c->crashes, control_now(c));
+    crash_ledger_evaluate(c->crashes, control_now(c));
     publish(c);
     keep(c);
     counter_set(counter_get("requests_held", NULL, TRUE),
-                crash_ledger_held(c->crashes));
+                crash_ledger_quarantined(c->crashes));
     counter_set(counter_get("requests_suspect", NULL, TRUE),
                 crash_ledger_suspects(c->crashes));
 }
@@ -89,11 +89,11 @@
         return;
     }
     for (guint i = 0; i < report.ends->len; i++) {
-        crash_ledger_note_end(
+        crash_ledger_record_end(
             c->crashes, &g_array_index(report.ends, endpoint_end_t, i), now);
     }
     for (guint i = 0; i < report.answered->len; i++) {
-        crash_ledger_note_answered(
+        crash_ledger_record_answered(
             c->crashes, g_array_index(report.answered, guint64, i), now);
     }
     crash_report_clear(&report);
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -125,7 +125,7 @@
         .limits = limit_quota_cursor(c->limits),
         .asked_version = request->version,
         .version = control_newest_version(c),
-        .entries = collector_entries_told(entries_fresh(c)),
+        .entries = collector_entries_rounded(entries_fresh(c)),
         .takes_config = (guint32)request->takes_config,
         .full = (guint32)full,
         .confirmed = (guint32)control_may_read(c),
@@ -160,8 +160,8 @@
     for (guint i = 0; i < orders->len; i++) {
         quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
-        if (order->trial != 0) {
-            order->trial_at = trial_instance(c, order->fingerprint);
+        if (order->probe != 0) {
+            order->probe_instance = trial_instance(c, order->fingerprint);
         }
     }
 }
@@ -180,7 +180,7 @@
         .full = full,
         .more = more,
         .confirmed = control_may_read(c),
-        .entries = collector_entries_told(entries_fresh(c)),
+        .entries = collector_entries_rounded(entries_fresh(c)),
         .leases = leases,
         .controls = g_ptr_array_new(),
         .data_centre = g_strdup(c->settings->data_centre),
@@ -191,12 +191,12 @@
     }
     fill_config(c, request, &answer);
     answer.held_cursor = full ? 0 : request->held_cursor;
-    answer.held = crash_ledger_since(c->crashes, &answer.held_cursor,
-                                     ORDERS_MOST, control_now(c));
+    answer.held = crash_ledger_orders_since(c->crashes, &answer.held_cursor,
+                                            ORDERS_MOST, control_now(c));
     choose_trials(c, answer.held);
     answer.limit_cursor = full ? 0 : request->limit_cursor;
-    answer.limits =
-        limit_quota_since(c->limits, &answer.limit_cursor, LIMITS_MOST);
+    answer.limits = limit_quota_changes_since(c->limits, &answer.limit_cursor,
+                                              LIMITS_MOST);
     GBytes *bytes = sync_answer_write(&answer);
     sync_answer_clear(&answer);
     counter_add(counter_get("entry_answers_written_total", NULL, FALSE), 1);
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -31,7 +31,8 @@
     if (c->told_limits == limit_quota_cursor(c->limits)) {
         return;
     }
-    GArray *states = limit_quota_since(c->limits, &c->told_limits, G_MAXUINT);
+    GArray *states =
+        limit_quota_changes_since(c->limits, &c->told_limits, G_MAXUINT);
     for (guint i = 0; i < states->len; i++) {
         const limit_state_t *s = &g_array_index(states, limit_state_t, i);
         if (event_log_begin(EVENT_STATE, "limit_told")) {
@@ -50,12 +51,13 @@
 }
 
 static limit_grant_t
-answer_ask(control_t *c, const limit_asker_t *asker, const limit_ask_t *ask)
+answer_ask(control_t *c, const limit_requester_t *asker,
+           const limit_request_t *ask)
 {
     if (owns(c, ask->endpoint)) {
-        return limit_quota_ask(c->limits, asker, ask, control_now(c));
+        return limit_quota_request(c->limits, asker, ask, control_now(c));
     }
-    limit_quota_take_report(c->limits, ask, control_now(c));
+    limit_quota_apply_report(c->limits, ask, control_now(c));
     counter_add(counter_get(ask->wanted > 0 ? "limit_asks_misdirected_total"
                                             : "limits_relayed_total",
                             NULL, FALSE),
@@ -81,17 +83,17 @@
         answer_plain(exchange, 503, "{\"error\":\"does not own limits\"}");
         return;
     }
-    limit_asker_t asker = {.name = report.from,
-                           .incarnation = report.incarnation,
-                           .sequence = report.sequence};
+    limit_requester_t asker = {.name = report.from,
+                               .incarnation = report.incarnation,
+                               .sequence = report.sequence};
     limit_answer_t answer = {
-        .ask_ms = collector_ask_ms(entries_fresh(c)),
+        .ask_ms = collector_report_interval_ms(entries_fresh(c)),
         .grants = g_array_new(FALSE, FALSE, sizeof(limit_grant_t)),
     };
     guint granted = 0;
     for (guint i = 0; i < report.asks->len; i++) {
-        limit_grant_t grant =
-            answer_ask(c, &asker, &g_array_index(report.asks, limit_ask_t, i));
+        limit_grant_t grant = answer_ask(
+            c, &asker, &g_array_index(report.asks, limit_request_t, i));
         granted += grant.granted;
         g_array_append_val(answer.grants, grant);
     }
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -9,7 +9,7 @@
 enum {
     MS = 1000,
     /* Sums that did not change are told again after this, so that they are
-     * still counted where they go (collector_fresh_ms). */
+     * still counted where they go (collector_report_max_age_ms). */
     SUMS_SAME_US = 400 * MS,
 };
 
@@ -35,7 +35,8 @@
     part_feed_add(c->own_parts, report.parts);
     part_feed_add(c->parts, report.parts);
     load_answer_t answer = {
-        .ask_ms = collector_ask_ms(load_sum_reporters(c->own_loads)),
+        .ask_ms =
+            collector_report_interval_ms(load_sum_reporters(c->own_loads)),
         .loads = load_sum_told(c->loads, now),
         .heard = report.heard,
     };
@@ -160,7 +161,8 @@
 void
 load_sums_expire(control_t *c)
 {
-    gint64 fresh_ms = collector_fresh_ms(load_sum_reporters(c->own_loads));
+    gint64 fresh_ms =
+        collector_report_max_age_ms(load_sum_reporters(c->own_loads));
     gint64 oldest_us = control_now(c) - fresh_ms * MS;
     load_sum_expire(c->own_loads, oldest_us);
     load_sum_expire(c->loads, oldest_us);
--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -280,7 +280,7 @@
         entry_take_confirmation(e, written_us(link));
     }
     e->entries = MAX(answer->entries, 1);
-    instance_count_note(&e->sharers, e->entries, now);
+    instance_count_record(&e->sharers, e->entries, now);
     for (guint i = 0; i < answer->controls->len; i++) {
         link_add(e, answer->controls->pdata[i]);
     }
@@ -422,9 +422,9 @@
         const control_link_t *link = e->links->pdata[i];
         collector_t c = {
             .hash = hash_text(str_from_cstr(link->address)),
-            .near =
+            .local =
                 g_strcmp0(link->data_centre, e->settings->data_centre) == 0,
-            .answers = link->answered_us != 0 && !link->lost,
+            .reachable = link->answered_us != 0 && !link->lost,
         };
         g_array_append_val(collectors, c);
         g_ptr_array_add(addresses, link->address);
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -261,8 +261,8 @@
     for (guint i = 0; i < end->runs->len; i++) {
         cut_run_t run = g_array_index(end->runs, cut_run_t, i);
         endpoint_end_add(&note->end, run);
-        run_history_note_cut(&link->entry->history, run.fingerprint,
-                             note->at_us);
+        run_history_record_cut(&link->entry->history, run.fingerprint,
+                               note->at_us);
     }
     wake_all(link);
 }
@@ -325,8 +325,8 @@
     for (guint i = 0; i < orders->len; i++) {
         const quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
-        if (quarantine_take(e->quarantine, order, e->settings->instance,
-                            now)) {
+        if (quarantine_apply_order(e->quarantine, order, e->settings->instance,
+                                   now)) {
             quarantine_order_log(order, control);
         }
         if (order->left_us > 0 &&
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -271,8 +271,9 @@
     }
     GString *list = g_string_new(NULL);
     for (guint i = 0; i < MIN(runs->len, LOGGED_RUNS); i++) {
-        char text[FINGERPRINT_TEXT];
-        fingerprint_text(g_array_index(runs, cut_run_t, i).fingerprint, text);
+        char text[FINGERPRINT_TEXT_SIZE];
+        fingerprint_format(g_array_index(runs, cut_run_t, i).fingerprint,
+                           text);
         g_string_append_printf(list, "%s%s", i > 0 ? "," : "", text);
     }
     event_log_cstr("endpoint", b->end.endpoint);
--- a/carobloomd/gateway/crash_wire.c
+++ b/carobloomd/gateway/crash_wire.c
@@ -136,9 +136,10 @@
     for (guint i = 0; orders != NULL && i < orders->len; i++) {
         const quarantine_order_t *o =
             &g_array_index(orders, quarantine_order_t, i);
-        g_variant_builder_add(&b, "(txxsbus)", o->fingerprint, o->left_us,
-                              o->since_us, o->endpoints, o->doubted, o->trial,
-                              o->trial_at != NULL ? o->trial_at : "");
+        g_variant_builder_add(
+            &b, "(txxsbus)", o->fingerprint, o->left_us, o->since_us,
+            o->endpoints, o->uncertain, o->probe,
+            o->probe_instance != NULL ? o->probe_instance : "");
     }
     return g_variant_builder_end(&b);
 }
@@ -150,9 +151,10 @@
     quarantine_order_t o;
     GArray *orders = quarantine_orders_new();
     gboolean sound = g_variant_iter_init(&iter, list) <= QUARANTINE_ORDERS_MAX;
-    while (sound && g_variant_iter_next(&iter, "(txxsbus)", &o.fingerprint,
-                                        &o.left_us, &o.since_us, &o.endpoints,
-                                        &o.doubted, &o.trial, &o.trial_at)) {
+    while (sound &&
+           g_variant_iter_next(&iter, "(txxsbus)", &o.fingerprint, &o.left_us,
+                               &o.since_us, &o.endpoints, &o.uncertain,
+                               &o.probe, &o.probe_instance)) {
         g_array_append_val(orders, o);
     }
     if (!sound) {
--- a/carobloomd/gateway/endpoints_page.c
+++ b/carobloomd/gateway/endpoints_page.c
@@ -25,8 +25,9 @@
         "requests_a_second", l->rate, "granted", (json_int_t)l->tokens, "sent",
         (json_int_t)l->sends, "kept_away", (json_int_t)l->denied, "instances",
         (json_int_t)instance_count_get(&e->sharers), "told_ms_ago",
-        age_ms(MAX(l->named_us, l->told_us)), "owner",
-        owner != NULL ? owner : "", "owner_answers", l->alone_us == 0);
+        age_ms(MAX(l->rate_received_us, l->owner_rate_us)), "owner",
+        owner != NULL ? owner : "", "owner_answers",
+        l->ownerless_send_us == 0);
 }
 
 static json_t *
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -274,7 +274,7 @@
 {
     entry_t *e = data;
     directory_sweep(e->directory, entry_now(e));
-    quarantine_sweep(e->quarantine, entry_now(e));
+    quarantine_expire(e->quarantine, entry_now(e));
     counter_set(counter_get("requests_held", NULL, TRUE),
                 quarantine_count(e->quarantine));
     counter_set(counter_get("endpoints", NULL, TRUE),
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -198,7 +198,7 @@
 static retry_after_t
 retry_after_of(const forward_t *f)
 {
-    if (f->held != NULL && f->held->doubted) {
+    if (f->held != NULL && f->held->uncertain) {
         return AFTER_DOUBT;
     }
     if (f->held != NULL) { /* sooner it would only be refused again */
@@ -427,7 +427,7 @@
                           .pause_ms = f->route->pause_ms,
                           .priority = f->route->priority};
     prompt_mix_note(&f->use->prompts, note, forward_now(f));
-    repeat_budget_note_first(&f->use->budget, &limits, forward_now(f));
+    repeat_budget_record_first(&f->use->budget, &limits, forward_now(f));
     forward_send(f);
 }
 
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -77,7 +77,7 @@
                                     forward_now(f));
     f->on_trial = FALSE;
     if (f->held != NULL &&
-        quarantine_take_trial(quarantine, f->fingerprint, forward_now(f))) {
+        quarantine_take_probe(quarantine, f->fingerprint, forward_now(f))) {
         log_trial(f);
         f->held = NULL;
         f->on_trial = TRUE;
@@ -94,7 +94,7 @@
 {
     entry_t *e = f->entry;
     guint64 fingerprint = forward_fingerprint(f);
-    run_history_note_answered(&e->history, fingerprint, forward_now(f));
+    run_history_record_answered(&e->history, fingerprint, forward_now(f));
     if (run_history_take_cut(&e->history, fingerprint)) {
         crash_link_answered(e->crash_link, fingerprint);
     }
@@ -103,8 +103,8 @@
 void
 forward_log_fingerprint(forward_t *f)
 {
-    char text[FINGERPRINT_TEXT];
-    fingerprint_text(forward_fingerprint(f), text);
+    char text[FINGERPRINT_TEXT_SIZE];
+    fingerprint_format(forward_fingerprint(f), text);
     event_log_cstr("fingerprint", text);
 }
 
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -217,8 +217,8 @@
     if (!limited && placement->denied == NULL) {
         return;
     }
-    limit_share_note_wanted(&f->use->limit_share, (guint)priority_of(f),
-                            forward_now(f));
+    limit_share_record_wanted(&f->use->limit_share, (guint)priority_of(f),
+                              forward_now(f));
     if (chosen == NULL) {
         limit_link_deny_some(f->entry->limit_link, f->service);
     }
--- a/carobloomd/gateway/forward_state.h
+++ b/carobloomd/gateway/forward_state.h
@@ -24,9 +24,9 @@
     const char *service;
     service_use_t *use;
     request_info_t info;
-    guint64 fingerprint;        /* 0: not worked out yet */
-    const held_request_t *held; /* as it is refused: it is held back */
-    gboolean on_trial;          /* its last send */
+    guint64 fingerprint;               /* 0: not worked out yet */
+    const quarantined_request_t *held; /* as it is refused: it is held back */
+    gboolean on_trial;                 /* its last send */
     gint64 started_us;
     gint64 final_us; /* it is answered by then */
     guint64 timer;
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -45,7 +45,7 @@
     guint64 hash;
     inner_line_t *line;
     guint64 timer; /* of the next ask; 0: none waits */
-    GArray *asks;  /* limit_ask_t under way, or NULL */
+    GArray *asks;  /* limit_request_t under way, or NULL */
     gint64 asked_us;
     gint64 wants_us; /* sends are not asked for before */
     guint failures;  /* in a row */
@@ -129,9 +129,9 @@
     for (guint i = 0; i < limit_count(link); i++) {
         endpoint_t *endpoint = endpoint_at(link, i);
         if (owner_of(link, endpoint->hash) == a) {
-            endpoint_limit_alone(endpoint->limit,
-                                 instance_count_get(&e->sharers),
-                                 g_rand_double(e->random), now);
+            endpoint_limit_owner_lost(endpoint->limit,
+                                      instance_count_get(&e->sharers),
+                                      g_rand_double(e->random), now);
         }
     }
 }
@@ -142,8 +142,9 @@
 static gboolean
 has_ask(const asker_t *owner, const endpoint_t *e, gint64 now)
 {
-    return endpoint_limit_has_news(e->limit) ||
-           (now >= owner->wants_us && endpoint_limit_has_wants(e->limit, now));
+    return endpoint_limit_has_update(e->limit) ||
+           (now >= owner->wants_us &&
+            endpoint_limit_needs_grants(e->limit, now));
 }
 
 /* Whether there is something to tell one that only relays the limit. */
@@ -183,12 +184,12 @@
     const limit_link_t *link = a->link;
     for (guint i = 0; a->asks != NULL && i < a->asks->len; i++) {
         const endpoint_t *e =
-            find(link, g_array_index(a->asks, limit_ask_t, i).endpoint);
+            find(link, g_array_index(a->asks, limit_request_t, i).endpoint);
         if (e != NULL && owner_of(link, e->hash) == a) {
-            e->limit->news = TRUE;
+            e->limit->update_due = TRUE;
         }
         else if (e != NULL) {
-            e->limit->report_due = TRUE;
+            e->limit->relay_report_due = TRUE;
         }
     }
     g_clear_pointer(&a->asks, g_array_unref);
@@ -215,10 +216,11 @@
     }
     endpoint_limit_t *l = endpoint->limit;
     limit_change_t change =
-        endpoint_limit_granted(l, grant, a->asked_us, limit_link_now());
+        endpoint_limit_apply_grant(l, grant, a->asked_us, limit_link_now());
     limit_log_change(e, endpoint, change, a->address);
-    limit_share_note_granted(&entry_service(e, endpoint->service)->limit_share,
-                             grant->granted, entry_now(e));
+    limit_share_record_granted(
+        &entry_service(e, endpoint->service)->limit_share, grant->granted,
+        entry_now(e));
 }
 
 static void
@@ -260,20 +262,21 @@
 
 /* FALSE when there is nothing to tell or to ask this one. */
 static gboolean
-fill_ask(const asker_t *a, const endpoint_t *e, limit_ask_t *ask, gint64 now)
+fill_ask(const asker_t *a, const endpoint_t *e, limit_request_t *ask,
+         gint64 now)
 {
-    *ask = (limit_ask_t){.endpoint = e->hash};
+    *ask = (limit_request_t){.endpoint = e->hash};
     if (owner_of(a->link, e->hash) == a) {
         if (!has_ask(a, e, now)) {
             return FALSE;
         }
-        endpoint_limit_ask(e->limit, ask, now);
+        endpoint_limit_fill_request(e->limit, ask, now);
         return TRUE;
     }
     if (!has_report(a, e)) {
         return FALSE;
     }
-    endpoint_limit_report(e->limit, ask, now);
+    endpoint_limit_fill_report(e->limit, ask, now);
     return TRUE;
 }
 
@@ -283,10 +286,10 @@
 {
     const limit_link_t *link = a->link;
     gint64 now = limit_link_now();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(limit_ask_t));
+    GArray *asks = g_array_new(FALSE, FALSE, sizeof(limit_request_t));
     for (guint i = 0; i < limit_count(link) && asks->len < LIMIT_ASKS_MAX;
          i++) {
-        limit_ask_t ask;
+        limit_request_t ask;
         if (fill_ask(a, endpoint_at(link, i), &ask, now)) {
             g_array_append_val(asks, ask);
         }
@@ -409,7 +412,7 @@
 static gboolean
 needs_ticks(const endpoint_t *e)
 {
-    return e->limit->limited || endpoint_limit_has_news(e->limit);
+    return e->limit->limited || endpoint_limit_has_update(e->limit);
 }
 
 static void
@@ -453,7 +456,7 @@
 {
     endpoint_limit_t *l = directory_limit(link->entry->directory, e);
     limit_change_t change =
-        endpoint_limit_named(l, rate, sent_us, limit_link_now());
+        endpoint_limit_record_rate(l, rate, sent_us, limit_link_now());
     limit_log_change(link->entry, e, change, "answer");
     note_change(link, e);
 }
@@ -461,7 +464,7 @@
 void
 limit_link_absent(limit_link_t *link, endpoint_t *e, gint64 sent_us)
 {
-    limit_change_t change = endpoint_limit_absent(e->limit, sent_us);
+    limit_change_t change = endpoint_limit_record_unlimited(e->limit, sent_us);
     limit_log_change(link->entry, e, change, "answer");
     note_change(link, e);
 }
@@ -472,8 +475,8 @@
     if (!e->limit->limited) {
         return;
     }
-    endpoint_limit_spend(e->limit, instance_count_get(&link->entry->sharers),
-                         limit_link_now());
+    endpoint_limit_record_send(
+        e->limit, instance_count_get(&link->entry->sharers), limit_link_now());
     counter_add(counter_get("sends_to_limited_total", NULL, FALSE), 1);
     note_change(link, e);
 }
@@ -481,7 +484,7 @@
 void
 limit_link_deny(limit_link_t *link, endpoint_t *e)
 {
-    endpoint_limit_deny(e->limit, limit_link_now());
+    endpoint_limit_record_denied(e->limit, limit_link_now());
     counter_add(counter_get("sends_kept_by_limits_total", NULL, FALSE), 1);
     limit_log_spent(link->entry, e);
     note_change(link, e);
@@ -509,7 +512,7 @@
     gint64 now = limit_link_now();
     for (guint i = 0; i < limit_count(link); i++) {
         const endpoint_t *e = endpoint_at(link, i);
-        gint64 left_us = e->limit->tokens_until_us - now;
+        gint64 left_us = e->limit->tokens_expire_us - now;
         if (e->limit->tokens > 0 && left_us > 0 &&
             strcmp(e->service, service) == 0) {
             all.count += e->limit->tokens;
@@ -539,7 +542,7 @@
     for (guint i = 0; i < limit_count(link); i++) {
         const endpoint_t *e = endpoint_at(link, i);
         if (e->limit->limited && !e->limit->logged_begun) {
-            limit_log_change(link->entry, e, LIMIT_FIRST, control);
+            limit_log_change(link->entry, e, LIMIT_BEGUN, control);
             tick_start(link, e);
         }
     }
@@ -580,7 +583,7 @@
     }
     g_ptr_array_set_size(link->askers, 0);
     for (guint i = 0; i < limit_count(link); i++) {
-        endpoint_at(link, i)->limit->news = TRUE; /* to another owner */
+        endpoint_at(link, i)->limit->update_due = TRUE; /* to another owner */
     }
     for (guint i = 0; i < controls->len; i++) {
         asker_t *a = asker_create(link, controls->pdata[i]);
@@ -609,10 +612,12 @@
         "granted for %ld ms, named here %ld ms ago, %" G_GUINT64_FORMAT
         " sent, %" G_GUINT64_FORMAT " kept away, owner %s%s\n",
         e->id, e->hash, l->limited ? "in force," : "lifted,", l->rate,
-        l->tokens, (long)(l->tokens > 0 ? (l->tokens_until_us - now) / MS : 0),
-        (long)(l->named_us != 0 ? (now - l->named_us) / MS : -1), l->sends,
-        l->denied, owner != NULL ? owner : "none",
-        l->alone_us != 0 ? ", does not answer" : "");
+        l->tokens,
+        (long)(l->tokens > 0 ? (l->tokens_expire_us - now) / MS : 0),
+        (long)(l->rate_received_us != 0 ? (now - l->rate_received_us) / MS
+                                        : -1),
+        l->sends, l->denied, owner != NULL ? owner : "none",
+        l->ownerless_send_us != 0 ? ", does not answer" : "");
 }
 
 void
--- a/carobloomd/gateway/limit_log.c
+++ b/carobloomd/gateway/limit_log.c
@@ -17,7 +17,7 @@
         return;
     }
     const endpoint_limit_t *l = e->limit;
-    gint64 told_us = MAX(l->named_us, l->told_us);
+    gint64 told_us = MAX(l->rate_received_us, l->owner_rate_us);
     event_log_cstr("endpoint", e->id);
     event_log_cstr("source", source);
     event_log_number("limit_per_1000_s", (gint64)(l->rate * 1000));
@@ -35,7 +35,7 @@
                  limit_change_t change, const char *source)
 {
     static const char *const EVENTS[] = {
-        [LIMIT_FIRST] = "limit_begun",
+        [LIMIT_BEGUN] = "limit_begun",
         [LIMIT_CHANGED] = "limit_changed",
         [LIMIT_LIFTED] = "limit_lifted",
     };
@@ -44,7 +44,7 @@
     }
     log_limit(entry, e, EVENTS[change], source);
     e->limit->logged_begun = change != LIMIT_LIFTED;
-    if (change == LIMIT_FIRST) {
+    if (change == LIMIT_BEGUN) {
         counter_add(counter_get("limits_begun_total", NULL, FALSE), 1);
     }
 }
--- a/carobloomd/gateway/limit_wire.c
+++ b/carobloomd/gateway/limit_wire.c
@@ -12,7 +12,7 @@
 static gboolean
 is_rate(double rate)
 {
-    return isfinite(rate) && rate >= 0 && rate <= LIMIT_RATE_MOST;
+    return isfinite(rate) && rate >= 0 && rate <= LIMIT_RATE_MAX;
 }
 
 GBytes *
@@ -21,10 +21,10 @@
     GVariantBuilder b;
     g_variant_builder_init(&b, G_VARIANT_TYPE(ASKS_TYPE));
     for (guint i = 0; i < r->asks->len; i++) {
-        const limit_ask_t *a = &g_array_index(r->asks, limit_ask_t, i);
+        const limit_request_t *a = &g_array_index(r->asks, limit_request_t, i);
         g_variant_builder_add(&b, "(tbduuuut)", a->endpoint, a->limited,
-                              a->rate, a->sent_age_ms, a->heard_age_ms,
-                              a->wanted, a->held, a->used);
+                              a->rate, a->request_age_ms, a->rate_age_ms,
+                              a->wanted, a->outstanding, a->used);
     }
     return codec_write(g_variant_new("(stt@" ASKS_TYPE ")", r->from,
                                      r->incarnation, r->sequence,
@@ -36,12 +36,12 @@
 asks_take(GVariant *list, GArray *asks)
 {
     GVariantIter iter;
-    limit_ask_t a;
+    limit_request_t a;
     gboolean sound = g_variant_iter_init(&iter, list) <= LIMIT_ASKS_MAX;
     while (sound &&
            g_variant_iter_next(&iter, "(tbduuuut)", &a.endpoint, &a.limited,
-                               &a.rate, &a.sent_age_ms, &a.heard_age_ms,
-                               &a.wanted, &a.held, &a.used)) {
+                               &a.rate, &a.request_age_ms, &a.rate_age_ms,
+                               &a.wanted, &a.outstanding, &a.used)) {
         sound = is_rate(a.rate);
         g_array_append_val(asks, a);
     }
@@ -61,7 +61,7 @@
     g_variant_get(v, "(stt@" ASKS_TYPE ")", &r->from, &r->incarnation,
                   &r->sequence, &asks);
     g_variant_unref(v);
-    r->asks = g_array_new(FALSE, FALSE, sizeof(limit_ask_t));
+    r->asks = g_array_new(FALSE, FALSE, sizeof(limit_request_t));
     if (!asks_take(asks, r->asks)) {
         limit_report_clear(r);
         return FALSE;
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -99,8 +99,8 @@
     GPtrArray *addresses = control_links_collectors(e, collectors);
     for (guint i = 0; i < collectors->len; i++) {
         collector_t *c = &g_array_index(collectors, collector_t, i);
-        c->answers =
-            c->answers && !is_silent(link, addresses->pdata[i], silent_us);
+        c->reachable =
+            c->reachable && !is_silent(link, addresses->pdata[i], silent_us);
     }
     gssize best =
         collector_pick((const collector_t *)collectors->data, collectors->len,
--- a/include/carobloom/gateway/limit_wire.h
+++ b/include/carobloom/gateway/limit_wire.h
@@ -18,7 +18,7 @@
     char *from;
     guint64 incarnation; /* drawn at its start */
     guint64 sequence;    /* from 1 */
-    GArray *asks;        /* limit_ask_t */
+    GArray *asks;        /* limit_request_t */
 } limit_report_t;
 
 typedef struct {
--- a/include/carobloom/policy/collector.h
+++ b/include/carobloom/policy/collector.h
@@ -12,9 +12,9 @@
 
 /* A control instance, as one entry instance sees it. */
 typedef struct {
-    guint64 hash;     /* of its address */
-    gboolean near;    /* in this data centre */
-    gboolean answers; /* as far as known */
+    guint64 hash;       /* of its address */
+    gboolean local;     /* in this data centre */
+    gboolean reachable; /* as far as known */
 } collector_t;
 
 /* The index of the one to report to, or -1 when none answers. `key` is the
@@ -22,11 +22,11 @@
 gssize collector_pick(const collector_t *collectors, gsize count, guint64 key);
 /* Until the next report, in ms, of one of `reporters` to a control instance.
  */
-guint collector_ask_ms(guint reporters);
+guint collector_report_interval_ms(guint reporters);
 /* How many entry instances ask, as it is told: exact for few, a sixteenth less
  * at most for many, so that it does not change with each that comes. */
-guint collector_entries_told(guint entries);
+guint collector_entries_rounded(guint entries);
 /* A report that is older, in ms, no longer counts. */
-guint collector_fresh_ms(guint reporters);
+guint collector_report_max_age_ms(guint reporters);
 
 #endif
--- a/include/carobloom/policy/fingerprint.h
+++ b/include/carobloom/policy/fingerprint.h
@@ -9,7 +9,7 @@
 
 #include "carobloom/common/str.h"
 
-enum { FINGERPRINT_TEXT = 17 }; /* 16 digits and a zero byte */
+enum { FINGERPRINT_TEXT_SIZE = 17 }; /* 16 digits and a zero byte */
 
 /* Views of the parts of a request that count. */
 typedef struct {
@@ -24,6 +24,6 @@
  * are remembered, one in 10^15 other requests meets one by chance. */
 guint64 request_fingerprint(const request_identity_t *identity);
 /* As it stands in log lines. */
-void fingerprint_text(guint64 fingerprint, char text[FINGERPRINT_TEXT]);
+void fingerprint_format(guint64 fingerprint, char text[FINGERPRINT_TEXT_SIZE]);
 
 #endif
--- a/include/carobloom/policy/instance_count.h
+++ b/include/carobloom/policy/instance_count.h
@@ -9,16 +9,17 @@
 #include <glib.h>
 
 typedef struct {
-    gint64 since_us; /* the start of the span of `most` */
-    guint most;      /* told in this span */
-    guint before;    /* told in the one before */
+    gint64 window_start_us; /* the start of the span of `most` */
+    guint window_max;       /* told in this span */
+    guint previous_max;     /* told in the one before */
 } instance_count_t;
 
-void instance_count_note(instance_count_t *count, guint told, gint64 now_us);
+void instance_count_record(instance_count_t *count, guint reported,
+                           gint64 now_us);
 /* At least 1. */
 guint instance_count_get(const instance_count_t *count);
 /* The share of one instance in `whole`, at least `least`. */
 guint instance_count_share(const instance_count_t *count, guint whole,
-                           guint least);
+                           guint min_share);
 
 #endif
--- a/include/carobloom/policy/limit_quota.h
+++ b/include/carobloom/policy/limit_quota.h
@@ -19,17 +19,19 @@
     const char *name;
     guint64 incarnation;
     guint64 sequence; /* of its asks; one that comes late is not granted */
-} limit_asker_t;
+} limit_requester_t;
 
 limit_quota_t *limit_quota_create(void);
 void limit_quota_destroy(limit_quota_t *quota);
-limit_grant_t limit_quota_ask(limit_quota_t *quota, const limit_asker_t *asker,
-                              const limit_ask_t *ask, gint64 now_us);
+limit_grant_t limit_quota_request(limit_quota_t *quota,
+                                  const limit_requester_t *requester,
+                                  const limit_request_t *request,
+                                  gint64 now_us);
 /* As the relay of a limit whose owner does not answer an instance: takes what
  * answers said. It is told to all like what an owner knows; nothing is
  * granted. */
-void limit_quota_take_report(limit_quota_t *quota, const limit_ask_t *ask,
-                             gint64 now_us);
+void limit_quota_apply_report(limit_quota_t *quota,
+                              const limit_request_t *request, gint64 now_us);
 /* Drops grants that are over, and limits that nobody asked for lately: entry
  * instances keep what they know of those and tell it when they ask again. */
 void limit_quota_expire(limit_quota_t *quota, gint64 now_us);
@@ -37,8 +39,8 @@
 guint64 limit_quota_cursor(const limit_quota_t *quota);
 /* limit_state_t of what changed after `cursor`, at most `most`, in a new
  * array; `cursor` becomes that of the last one. */
-GArray *limit_quota_since(const limit_quota_t *quota, guint64 *cursor,
-                          guint most);
+GArray *limit_quota_changes_since(const limit_quota_t *quota, guint64 *cursor,
+                                  guint max_count);
 /* Limits in force. */
 guint limit_quota_count(const limit_quota_t *quota);
 /* A line each, for people. */
--- a/include/carobloom/policy/limit_share.h
+++ b/include/carobloom/policy/limit_share.h
@@ -27,10 +27,11 @@
     gint64 left_us; /* until the last of them is over */
 } limit_tokens_t;
 
-void limit_share_note_granted(limit_share_t *share, guint count,
-                              gint64 now_us);
+void limit_share_record_granted(limit_share_t *share, guint count,
+                                gint64 now_us);
 /* A request was sent there, or would have been. */
-void limit_share_note_wanted(limit_share_t *share, guint rank, gint64 now_us);
+void limit_share_record_wanted(limit_share_t *share, guint rank,
+                               gint64 now_us);
 /* Whether one of this rank leaves `tokens` to more urgent ones. */
 gboolean limit_share_yields(limit_share_t *share, guint rank,
                             const limit_tokens_t *tokens, gint64 now_us);
--- a/include/carobloom/policy/repeat_budget.h
+++ b/include/carobloom/policy/repeat_budget.h
@@ -22,8 +22,8 @@
     guint repeats[REPEAT_BUDGET_SLOTS];
 } repeat_budget_t;
 
-void repeat_budget_note_first(repeat_budget_t *budget,
-                              const repeat_limits_t *limits, gint64 now_us);
+void repeat_budget_record_first(repeat_budget_t *budget,
+                                const repeat_limits_t *limits, gint64 now_us);
 /* Takes one repeat; FALSE when the budget is spent. `instances` share the
  * slack. */
 gboolean repeat_budget_take(repeat_budget_t *budget,
--- a/include/carobloom/policy/run_history.h
+++ b/include/carobloom/policy/run_history.h
@@ -11,17 +11,17 @@
 typedef struct {
     guint64 fingerprint;
     gint64 at_us;
-} run_note_t;
+} run_record_t;
 
 typedef struct {
-    run_note_t answered[RUN_HISTORY_SLOTS];
-    run_note_t cut[RUN_HISTORY_SLOTS];
+    run_record_t answered[RUN_HISTORY_SLOTS];
+    run_record_t cut[RUN_HISTORY_SLOTS];
 } run_history_t;
 
-void run_history_note_answered(run_history_t *history, guint64 fingerprint,
-                               gint64 now_us);
-void run_history_note_cut(run_history_t *history, guint64 fingerprint,
-                          gint64 now_us);
+void run_history_record_answered(run_history_t *history, guint64 fingerprint,
+                                 gint64 now_us);
+void run_history_record_cut(run_history_t *history, guint64 fingerprint,
+                            gint64 now_us);
 /* Whether it was answered within the last seconds: then it is no request that
  * no endpoint survives. */
 gboolean run_history_is_answered(const run_history_t *history,
--- a/policy/collector.c
+++ b/policy/collector.c
@@ -5,15 +5,15 @@
 enum {
     /* Half of what a long prompt is read in: what is known of an engine then
      * misses one at most of those sent there by others. */
-    ASK_LEAST_MS = 100,
+    REPORT_INTERVAL_MIN_MS = 100,
     /* A report costs a control instance some 0.05 ms, so that all that go to
      * one take 3.4% of a core at most: 67 entry instances at 100 ms, and with
      * nine control instances 600. Beyond that they ask less often. */
-    ASK_US_A_REPORTER = 1500,
+    REPORT_INTERVAL_US_PER_REPORTER = 1500,
     /* Reports that may be lost or late before an instance's requests are
      * taken to have ended with it. */
-    MISSED_REPORTS = 8,
-    ENTRIES_EXACT = 32,
+    MISSED_REPORTS_MAX = 8,
+    EXACT_ENTRIES_MAX = 32,
 };
 
 gssize
@@ -22,13 +22,14 @@
     gssize best = -1;
     for (gsize i = 0; i < count; i++) {
         const collector_t *c = &collectors[i];
-        if (!c->answers) {
+        if (!c->reachable) {
             continue;
         }
         const collector_t *b = best >= 0 ? &collectors[best] : NULL;
-        gboolean nearer = b != NULL && c->near != b->near;
-        if (b == NULL || (nearer && c->near) ||
-            (!nearer && hash_pair(key, c->hash) > hash_pair(key, b->hash))) {
+        gboolean locality_differs = b != NULL && c->local != b->local;
+        if (b == NULL || (locality_differs && c->local) ||
+            (!locality_differs &&
+             hash_pair(key, c->hash) > hash_pair(key, b->hash))) {
             best = (gssize)i;
         }
     }
@@ -36,23 +37,24 @@
 }
 
 guint
-collector_ask_ms(guint reporters)
+collector_report_interval_ms(guint reporters)
 {
-    return MAX(ASK_LEAST_MS, reporters * ASK_US_A_REPORTER / 1000);
+    return MAX(REPORT_INTERVAL_MIN_MS,
+               reporters * REPORT_INTERVAL_US_PER_REPORTER / 1000);
 }
 
 guint
-collector_entries_told(guint entries)
+collector_entries_rounded(guint entries)
 {
     guint step = 1;
-    while (entries / step > ENTRIES_EXACT) {
+    while (entries / step > EXACT_ENTRIES_MAX) {
         step *= 2;
     }
     return entries / step * step;
 }
 
 guint
-collector_fresh_ms(guint reporters)
+collector_report_max_age_ms(guint reporters)
 {
-    return MISSED_REPORTS * collector_ask_ms(reporters);
+    return MISSED_REPORTS_MAX * collector_report_interval_ms(reporters);
 }
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -5,19 +5,19 @@
     /* Ends that make a request the cause. One may be chance, and so may two
      * for a caller that asks again at once; each more costs an endpoint and
      * all that runs there. */
-    SURE_ENDS = 3,
+    CAUSE_ENDS_MIN = 3,
     /* Two that share so many ends are told apart by the next one only. */
-    SHARED_ENDS = 2,
+    RIVAL_SHARED_ENDS_MIN = 2,
     /* Requests that the ends do not tell apart are held together after so
      * many. With the two trials that follow the cause is sent three
      * times after its third end, which is what sites are willing to bear. */
-    TIED_ENDS = 4,
+    TIED_ENDS_MIN = 4,
     /* Trials that are cut make it the cause. One may be by chance: 2 of 300
      * histories of the test then ended with another request held. */
-    SURE_CUTS = 2,
+    FAILED_PROBES_MIN = 2,
     /* One of them is tried at a time, for so long: the caller comes again, is
      * answered or cut, and that is known everywhere. */
-    TRIAL_US = 3000 * MS,
+    PROBE_US = 3000 * MS,
     /* How much an end counts: half where the request had answered for long,
      * since one that crashes its endpoint does so as it begins. */
     WEIGHT_BEGINNING = 2,
@@ -30,9 +30,9 @@
      * what waited there as well as what its slots held. */
     ENDS_MAX = 128,
     END_REQUESTS_MAX = 256,
-    HELD_MAX = 4096,
-    SUSPECT_ENDS = 6, /* of one request; the oldest give way */
-    NAMED_ENDS = 4,   /* endpoints named in an order */
+    QUARANTINED_MAX = 4096,
+    SUSPECT_ENDS_MAX = 6,    /* of one request; the oldest give way */
+    ORDER_ENDPOINTS_MAX = 4, /* endpoints named in an order */
 };
 
 /* An endpoint that ended. */
@@ -52,21 +52,21 @@
 /* A request that ran on an endpoint that ended. */
 typedef struct {
     guint64 fingerprint;
-    suspect_end_t ends[SUSPECT_ENDS];
+    suspect_end_t ends[SUSPECT_ENDS_MAX];
     guint count;
-    gint64 ripe_us;      /* when it may be judged; 0: not suspect enough */
-    gint64 since_us;     /* its first end */
-    gint64 held_us;      /* held until then; 0: not held */
-    gint64 probation_us; /* held before: until then one end is enough */
-    gboolean doubted;    /* held, but maybe not the cause */
-    gboolean confirmed;  /* an endpoint ended under it on trial */
-    guint cuts;          /* of trials */
-    gint64 tried_us;     /* when it was on trial last, or held */
-    guint trials;
-    gint64 forget_us; /* an order about it is told until then */
-    guint64 changed;  /* the cursor at its last order; 0: none */
-    char *endpoints;  /* of the order */
-    GList *link;      /* in `orders` */
+    gint64 due_us;   /* when it may be judged; 0: not suspect enough */
+    gint64 since_us; /* its first end */
+    gint64 quarantined_until_us; /* held until then; 0: not held */
+    gint64 probation_until_us; /* held before: until then one end is enough */
+    gboolean uncertain;        /* held, but maybe not the cause */
+    gboolean confirmed;        /* an endpoint ended under it on trial */
+    guint failed_probes;       /* of trials */
+    gint64 probed_us;          /* when it was on trial last, or held */
+    guint probes;
+    gint64 order_expires_us; /* an order about it is told until then */
+    guint64 order_cursor;    /* the cursor at its last order; 0: none */
+    char *endpoints;         /* of the order */
+    GList *link;             /* in `orders` */
 } suspect_t;
 
 struct crash_ledger {
@@ -74,12 +74,12 @@
     GHashTable *ends;     /* key -> end_record_t */
     GQueue by_age;        /* end_record_t, the oldest at the head */
     GHashTable *suspects; /* fingerprint -> suspect_t */
-    GHashTable *ripe;     /* set of suspect_t that are to be judged */
+    GHashTable *due;      /* set of suspect_t that are to be judged */
     GQueue orders;        /* suspect_t, the last changed at the tail */
     guint64 cursor;
-    guint held;
-    suspect_t *on_trial; /* one that is doubted; or NULL */
-    gint64 trial_end_us;
+    guint quarantined;
+    suspect_t *probing; /* one that is doubted; or NULL */
+    gint64 probe_end_us;
 };
 
 void
@@ -87,7 +87,7 @@
 {
     quarantine_order_t *o = order;
     g_free(o->endpoints);
-    g_free(o->trial_at);
+    g_free(o->probe_instance);
 }
 
 GArray *
@@ -126,7 +126,7 @@
     l->ends = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, end_free);
     l->suspects =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, suspect_free);
-    l->ripe = g_hash_table_new(g_direct_hash, g_direct_equal);
+    l->due = g_hash_table_new(g_direct_hash, g_direct_equal);
     return l;
 }
 
@@ -135,7 +135,7 @@
 {
     g_queue_clear(&l->by_age);
     g_queue_clear(&l->orders);
-    g_hash_table_unref(l->ripe);
+    g_hash_table_unref(l->due);
     g_hash_table_unref(l->suspects);
     g_hash_table_unref(l->ends);
     g_free(l);
@@ -156,7 +156,7 @@
 }
 
 static suspect_t *
-suspect_need(crash_ledger_t *l, guint64 fingerprint)
+suspect_find_or_create(crash_ledger_t *l, guint64 fingerprint)
 {
     suspect_t *s = suspect_find(l, fingerprint);
     if (s == NULL) {
@@ -169,12 +169,12 @@
 
 /* Forgets a request of which nothing is known any more. */
 static void
-suspect_release(crash_ledger_t *l, suspect_t *s)
+suspect_remove_unused(crash_ledger_t *l, suspect_t *s)
 {
     if (s->count > 0 || s->link != NULL) {
         return;
     }
-    g_hash_table_remove(l->ripe, s);
+    g_hash_table_remove(l->due, s);
     g_hash_table_remove(l->suspects, &s->fingerprint);
 }
 
@@ -214,29 +214,29 @@
 }
 
 static guint
-suspect_limit(const suspect_t *s, gint64 now_us)
+suspect_threshold(const suspect_t *s, gint64 now_us)
 {
-    return now_us < s->probation_us ? WEIGHT_BEGINNING
-                                    : SURE_ENDS * WEIGHT_BEGINNING;
+    return now_us < s->probation_until_us ? WEIGHT_BEGINNING
+                                          : CAUSE_ENDS_MIN * WEIGHT_BEGINNING;
 }
 
 static void
-suspect_note_ripe(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+suspect_schedule_evaluation(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
-    if (s->held_us == 0 && s->ripe_us == 0 &&
-        suspect_weight(s) >= suspect_limit(s, now_us)) {
-        s->ripe_us = now_us + SETTLE_US;
-        g_hash_table_add(l->ripe, s);
+    if (s->quarantined_until_us == 0 && s->due_us == 0 &&
+        suspect_weight(s) >= suspect_threshold(s, now_us)) {
+        s->due_us = now_us + SETTLE_US;
+        g_hash_table_add(l->due, s);
     }
 }
 
 /* ---- orders ---- */
 
 static void
-order_changed(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+order_update(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
-    s->changed = ++l->cursor;
-    s->forget_us = MAX(now_us, s->held_us) + l->memory_us;
+    s->order_cursor = ++l->cursor;
+    s->order_expires_us = MAX(now_us, s->quarantined_until_us) + l->memory_us;
     if (s->link != NULL) {
         g_queue_unlink(&l->orders, s->link);
         g_queue_push_tail_link(&l->orders, s->link);
@@ -248,57 +248,57 @@
 
 /* It is the cause, or it is not. */
 static void
-end_doubt(crash_ledger_t *l, suspect_t *s)
+clear_uncertain(crash_ledger_t *l, suspect_t *s)
 {
-    s->doubted = FALSE;
-    if (l->on_trial == s) {
-        l->on_trial = NULL;
+    s->uncertain = FALSE;
+    if (l->probing == s) {
+        l->probing = NULL;
     }
 }
 
 static void
-release(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+lift_quarantine(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
-    s->held_us = 0;
+    s->quarantined_until_us = 0;
     s->confirmed = FALSE;
-    s->cuts = 0;
-    l->held--;
-    end_doubt(l, s);
-    order_changed(l, s, now_us);
+    s->failed_probes = 0;
+    l->quarantined--;
+    clear_uncertain(l, s);
+    order_update(l, s, now_us);
 }
 
 /* The one whose order was given first makes room. */
 static void
-make_room(crash_ledger_t *l, gint64 now_us)
+evict_oldest(crash_ledger_t *l, gint64 now_us)
 {
     for (GList *i = l->orders.head; i != NULL; i = i->next) {
         suspect_t *s = i->data;
-        if (s->held_us != 0) {
-            release(l, s, now_us);
+        if (s->quarantined_until_us != 0) {
+            lift_quarantine(l, s, now_us);
             return;
         }
     }
 }
 
 static void
-hold(crash_ledger_t *l, suspect_t *s, gint64 until_us, gint64 now_us)
+quarantine(crash_ledger_t *l, suspect_t *s, gint64 until_us, gint64 now_us)
 {
-    if (l->held >= HELD_MAX) {
-        make_room(l, now_us);
+    if (l->quarantined >= QUARANTINED_MAX) {
+        evict_oldest(l, now_us);
     }
-    s->ripe_us = 0;
-    s->held_us = until_us;
-    s->tried_us = now_us;
-    l->held++;
-    g_hash_table_remove(l->ripe, s);
-    order_changed(l, s, now_us);
+    s->due_us = 0;
+    s->quarantined_until_us = until_us;
+    s->probed_us = now_us;
+    l->quarantined++;
+    g_hash_table_remove(l->due, s);
+    order_update(l, s, now_us);
 }
 
 static char *
-endpoint_names(const suspect_t *s)
+endpoint_list(const suspect_t *s)
 {
     GString *names = g_string_new(NULL);
-    for (guint i = 0; i < MIN(s->count, NAMED_ENDS); i++) {
+    for (guint i = 0; i < MIN(s->count, ORDER_ENDPOINTS_MAX); i++) {
         g_string_append_printf(names, "%s%s", i > 0 ? "," : "",
                                s->ends[i].end->endpoint);
     }
@@ -307,39 +307,39 @@
 
 /* Holds a request and puts its ends down to it. */
 static void
-convict(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+quarantine_as_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
     g_free(s->endpoints);
-    s->endpoints = endpoint_names(s);
+    s->endpoints = endpoint_list(s);
     for (guint i = 0; i < s->count; i++) {
         if (s->ends[i].end->cause == 0) {
             s->ends[i].end->cause = s->fingerprint;
         }
     }
-    hold(l, s, now_us + l->memory_us, now_us);
+    quarantine(l, s, now_us + l->memory_us, now_us);
 }
 
 /* It was doubted and is the cause: what was doubted with it and was only at
  * its ends is let go. One that is confirmed already stays so: to doubt it anew
  * had the cause sent a fourth time in 9 of 20,000 histories of the test. */
 static void
-confirm(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+confirm_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
-    end_doubt(l, s);
+    clear_uncertain(l, s);
     s->confirmed = TRUE;
-    s->held_us = now_us + l->memory_us;
-    order_changed(l, s, now_us);
+    s->quarantined_until_us = now_us + l->memory_us;
+    order_update(l, s, now_us);
     for (guint i = 0; i < s->count; i++) {
         s->ends[i].end->cause = s->fingerprint;
     }
     for (guint i = 0; i < s->count; i++) {
-        const GArray *there = s->ends[i].end->fingerprints;
-        for (guint j = 0; j < there->len; j++) {
+        const GArray *fingerprints = s->ends[i].end->fingerprints;
+        for (guint j = 0; j < fingerprints->len; j++) {
             suspect_t *other =
-                suspect_find(l, g_array_index(there, guint64, j));
-            if (other != NULL && other->doubted &&
+                suspect_find(l, g_array_index(fingerprints, guint64, j));
+            if (other != NULL && other->uncertain &&
                 suspect_weight(other) == 0) {
-                release(l, other, now_us);
+                lift_quarantine(l, other, now_us);
             }
         }
     }
@@ -348,7 +348,7 @@
 /* ---- what is noted ---- */
 
 static void
-end_forget(crash_ledger_t *l, end_record_t *end)
+end_remove(crash_ledger_t *l, end_record_t *end)
 {
     for (guint i = 0; i < end->fingerprints->len; i++) {
         suspect_t *s =
@@ -356,28 +356,29 @@
         gint index = s != NULL ? suspect_end_index(s, end) : -1;
         if (index >= 0) {
             suspect_drop_end(s, (guint)index);
-            suspect_release(l, s);
+            suspect_remove_unused(l, s);
         }
     }
     g_hash_table_remove(l->ends, end->key);
 }
 
 static end_record_t *
-end_need(crash_ledger_t *l, const endpoint_end_t *told, gint64 now_us)
+end_find_or_create(crash_ledger_t *l, const endpoint_end_t *reported,
+                   gint64 now_us)
 {
-    char *key = g_strdup_printf("%s/%" G_GINT64_FORMAT, told->endpoint,
-                                told->started_ms);
+    char *key = g_strdup_printf("%s/%" G_GINT64_FORMAT, reported->endpoint,
+                                reported->started_ms);
     end_record_t *end = g_hash_table_lookup(l->ends, key);
     if (end != NULL) {
         g_free(key);
         return end;
     }
     if (l->by_age.length >= ENDS_MAX) {
-        end_forget(l, g_queue_pop_head(&l->by_age));
+        end_remove(l, g_queue_pop_head(&l->by_age));
     }
     end = g_new0(end_record_t, 1);
     end->key = key;
-    end->endpoint = g_strdup(told->endpoint);
+    end->endpoint = g_strdup(reported->endpoint);
     end->at_us = now_us;
     end->fingerprints = g_array_new(FALSE, FALSE, sizeof(guint64));
     g_hash_table_insert(l->ends, end->key, end);
@@ -386,15 +387,15 @@
 }
 
 static void
-note_run(crash_ledger_t *l, end_record_t *end, cut_run_t run, gint64 now_us)
+record_run(crash_ledger_t *l, end_record_t *end, cut_run_t run, gint64 now_us)
 {
-    suspect_t *s = suspect_need(l, run.fingerprint);
+    suspect_t *s = suspect_find_or_create(l, run.fingerprint);
     gboolean full = end->fingerprints->len >= END_REQUESTS_MAX;
     if (suspect_end_index(s, end) >= 0 || (full && s->count == 0)) {
-        suspect_release(l, s);
+        suspect_remove_unused(l, s);
         return;
     }
-    if (s->count == SUSPECT_ENDS) {
+    if (s->count == SUSPECT_ENDS_MAX) {
         suspect_drop_end(s, 0);
     }
     if (s->count == 0) {
@@ -402,51 +403,51 @@
     }
     s->ends[s->count++] = (suspect_end_t){.end = end, .stage = run.stage};
     g_array_append_val(end->fingerprints, run.fingerprint);
-    if (s->held_us != 0 && end->cause == 0) {
+    if (s->quarantined_until_us != 0 && end->cause == 0) {
         end->cause = s->fingerprint; /* sent before all knew, or on trial */
     }
-    if (s->doubted && run.stage == RUN_TRIED) {
-        s->cuts++;
+    if (s->uncertain && run.stage == RUN_TRIED) {
+        s->failed_probes++;
     }
-    if (s->doubted && s->cuts >= SURE_CUTS) {
-        confirm(l, s, now_us);
+    if (s->uncertain && s->failed_probes >= FAILED_PROBES_MIN) {
+        confirm_cause(l, s, now_us);
     }
-    suspect_note_ripe(l, s, now_us);
+    suspect_schedule_evaluation(l, s, now_us);
 }
 
 void
-crash_ledger_note_end(crash_ledger_t *l, const endpoint_end_t *told,
-                      gint64 now_us)
+crash_ledger_record_end(crash_ledger_t *l, const endpoint_end_t *reported,
+                        gint64 now_us)
 {
-    end_record_t *end = end_need(l, told, now_us);
-    for (guint i = 0; i < told->runs->len; i++) {
-        cut_run_t run = g_array_index(told->runs, cut_run_t, i);
+    end_record_t *end = end_find_or_create(l, reported, now_us);
+    for (guint i = 0; i < reported->runs->len; i++) {
+        cut_run_t run = g_array_index(reported->runs, cut_run_t, i);
         if (run.stage == RUN_ANSWERED) {
-            crash_ledger_note_answered(l, run.fingerprint, now_us);
+            crash_ledger_record_answered(l, run.fingerprint, now_us);
             continue;
         }
-        note_run(l, end, run, now_us);
+        record_run(l, end, run, now_us);
     }
 }
 
 /* The end has another cause than was thought: the others that were there are
  * to be judged for it. */
 static void
-end_reopen(crash_ledger_t *l, end_record_t *end, gint64 now_us)
+end_clear_cause(crash_ledger_t *l, end_record_t *end, gint64 now_us)
 {
     end->cause = 0;
     for (guint i = 0; i < end->fingerprints->len; i++) {
         suspect_t *other =
             suspect_find(l, g_array_index(end->fingerprints, guint64, i));
         if (other != NULL) {
-            suspect_note_ripe(l, other, now_us);
+            suspect_schedule_evaluation(l, other, now_us);
         }
     }
 }
 
 void
-crash_ledger_note_answered(crash_ledger_t *l, guint64 fingerprint,
-                           gint64 now_us)
+crash_ledger_record_answered(crash_ledger_t *l, guint64 fingerprint,
+                             gint64 now_us)
 {
     suspect_t *s = suspect_find(l, fingerprint);
     if (s == NULL) {
@@ -456,33 +457,33 @@
         end_record_t *end = s->ends[s->count - 1].end;
         suspect_drop_end(s, s->count - 1);
         if (end->cause == fingerprint) {
-            end_reopen(l, end, now_us);
+            end_clear_cause(l, end, now_us);
         }
     }
-    s->ripe_us = 0;
-    s->probation_us = 0;
-    g_hash_table_remove(l->ripe, s);
-    if (s->held_us != 0) {
-        release(l, s, now_us);
+    s->due_us = 0;
+    s->probation_until_us = 0;
+    g_hash_table_remove(l->due, s);
+    if (s->quarantined_until_us != 0) {
+        lift_quarantine(l, s, now_us);
     }
-    suspect_release(l, s);
+    suspect_remove_unused(l, s);
 }
 
 void
 crash_ledger_restore(crash_ledger_t *l, const quarantine_order_t *order,
                      gint64 now_us)
 {
-    suspect_t *s = suspect_need(l, order->fingerprint);
-    if (s->held_us != 0 || order->left_us <= 0) {
-        suspect_release(l, s);
+    suspect_t *s = suspect_find_or_create(l, order->fingerprint);
+    if (s->quarantined_until_us != 0 || order->left_us <= 0) {
+        suspect_remove_unused(l, s);
         return;
     }
     g_free(s->endpoints);
     s->endpoints = g_strdup(order->endpoints);
     s->since_us = now_us - order->since_us;
-    s->doubted = order->doubted;
-    hold(l, s, now_us + MIN(order->left_us, l->memory_us), now_us);
-    s->tried_us = now_us - TRIAL_US; /* it has waited before */
+    s->uncertain = order->uncertain;
+    quarantine(l, s, now_us + MIN(order->left_us, l->memory_us), now_us);
+    s->probed_us = now_us - PROBE_US; /* it has waited before */
 }
 
 /* ---- judging ---- */
@@ -493,21 +494,21 @@
 is_rival(const suspect_t *s, const suspect_t *other, gint64 now_us)
 {
     guint shared = 0;
-    if (other == NULL || other == s || other->held_us != 0 ||
+    if (other == NULL || other == s || other->quarantined_until_us != 0 ||
         suspect_weight(other) < suspect_weight(s) ||
-        suspect_weight(other) < suspect_limit(other, now_us)) {
+        suspect_weight(other) < suspect_threshold(other, now_us)) {
         return FALSE;
     }
     for (guint i = 0; i < s->count; i++) {
         const end_record_t *end = s->ends[i].end;
         shared += end->cause == 0 && suspect_end_index(other, end) >= 0;
     }
-    return shared >= SHARED_ENDS;
+    return shared >= RIVAL_SHARED_ENDS_MIN;
 }
 
 /* The rivals of a request, at most `most` of them; freed without them. */
 static GPtrArray *
-rivals_of(const crash_ledger_t *l, const suspect_t *s, guint most,
+rivals_of(const crash_ledger_t *l, const suspect_t *s, guint max_count,
           gint64 now_us)
 {
     GPtrArray *rivals = g_ptr_array_new();
@@ -516,7 +517,7 @@
         for (guint j = 0; end->cause == 0 && j < end->fingerprints->len; j++) {
             suspect_t *other =
                 suspect_find(l, g_array_index(end->fingerprints, guint64, j));
-            if (rivals->len < most && is_rival(s, other, now_us) &&
+            if (rivals->len < max_count && is_rival(s, other, now_us) &&
                 !g_ptr_array_find(rivals, other, NULL)) {
                 g_ptr_array_add(rivals, other);
             }
@@ -528,7 +529,7 @@
 /* Whether endpoints end that neither this nor a held request is the cause
  * of. */
 static gboolean
-others_end(const crash_ledger_t *l, const suspect_t *s)
+has_unexplained_ends(const crash_ledger_t *l, const suspect_t *s)
 {
     for (const GList *i = l->by_age.head; i != NULL; i = i->next) {
         const end_record_t *end = i->data;
@@ -544,49 +545,48 @@
  * in 59 of 300 histories of the test, while others ended each five seconds.
  * Each is doubted until it was tried. */
 static void
-doubt_held(crash_ledger_t *l, gint64 now_us)
+mark_quarantined_uncertain(crash_ledger_t *l, gint64 now_us)
 {
     GList *last = l->orders.tail;
     GList *next;
     for (GList *i = l->orders.head; i != NULL; i = next) {
         suspect_t *s = i->data;
         next = i != last ? i->next : NULL;
-        if (s->held_us != 0 && !s->confirmed && !s->doubted) {
-            s->doubted = TRUE;
-            order_changed(l, s, now_us);
+        if (s->quarantined_until_us != 0 && !s->confirmed && !s->uncertain) {
+            s->uncertain = TRUE;
+            order_update(l, s, now_us);
         }
     }
 }
 
 /* TRUE when the request was held. */
 static gboolean
-judge_one(crash_ledger_t *l, suspect_t *s, gint64 now_us)
+evaluate_suspect(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
     guint weight = suspect_weight(s);
-    if (weight < suspect_limit(s, now_us)) {
-        s->ripe_us = 0;
-        g_hash_table_remove(l->ripe, s);
+    if (weight < suspect_threshold(s, now_us)) {
+        s->due_us = 0;
+        g_hash_table_remove(l->due, s);
         return FALSE;
     }
-    gboolean tied_long = weight >= TIED_ENDS * WEIGHT_BEGINNING;
-    if (now_us < s->ripe_us && !tied_long) {
+    gboolean tied = weight >= TIED_ENDS_MIN * WEIGHT_BEGINNING;
+    if (now_us < s->due_us && !tied) {
         return FALSE;
     }
     /* While it waits, one rival is reason enough: thousands may be tied. */
-    GPtrArray *rivals =
-        rivals_of(l, s, tied_long ? END_REQUESTS_MAX : 1, now_us);
-    gboolean held = rivals->len == 0 || tied_long;
-    if (held) {
+    GPtrArray *rivals = rivals_of(l, s, tied ? END_REQUESTS_MAX : 1, now_us);
+    gboolean quarantined = rivals->len == 0 || tied;
+    if (quarantined) {
         g_ptr_array_add(rivals, s);
         for (guint i = 0; i < rivals->len; i++) {
-            convict(l, rivals->pdata[i], now_us);
+            quarantine_as_cause(l, rivals->pdata[i], now_us);
         }
-        if (l->held > 1 || others_end(l, s)) {
-            doubt_held(l, now_us);
+        if (l->quarantined > 1 || has_unexplained_ends(l, s)) {
+            mark_quarantined_uncertain(l, now_us);
         }
     }
     g_ptr_array_unref(rivals);
-    return held;
+    return quarantined;
 }
 
 static gint
@@ -600,23 +600,23 @@
 /* The most suspect first: what it is found to have caused no longer counts
  * for the others. */
 static void
-judge_ripe(crash_ledger_t *l, gint64 now_us)
+evaluate_due(crash_ledger_t *l, gint64 now_us)
 {
-    gboolean again = TRUE;
-    while (again && g_hash_table_size(l->ripe) > 0) {
-        GPtrArray *ripe = g_ptr_array_new();
+    gboolean repeat = TRUE;
+    while (repeat && g_hash_table_size(l->due) > 0) {
+        GPtrArray *due = g_ptr_array_new();
         GHashTableIter iter;
         gpointer suspect;
-        g_hash_table_iter_init(&iter, l->ripe);
+        g_hash_table_iter_init(&iter, l->due);
         while (g_hash_table_iter_next(&iter, &suspect, NULL)) {
-            g_ptr_array_add(ripe, suspect);
+            g_ptr_array_add(due, suspect);
         }
-        g_ptr_array_sort(ripe, by_weight);
-        again = FALSE;
-        for (guint i = 0; i < ripe->len && !again; i++) {
-            again = judge_one(l, ripe->pdata[i], now_us);
+        g_ptr_array_sort(due, by_weight);
+        repeat = FALSE;
+        for (guint i = 0; i < due->len && !repeat; i++) {
+            repeat = evaluate_suspect(l, due->pdata[i], now_us);
         }
-        g_ptr_array_unref(ripe);
+        g_ptr_array_unref(due);
     }
 }
 
@@ -626,7 +626,7 @@
     end_record_t *end;
     while ((end = g_queue_peek_head(&l->by_age)) != NULL &&
            now_us - end->at_us > l->memory_us) {
-        end_forget(l, g_queue_pop_head(&l->by_age));
+        end_remove(l, g_queue_pop_head(&l->by_age));
     }
 }
 
@@ -638,17 +638,18 @@
     for (GList *i = l->orders.head; i != NULL; i = next) {
         suspect_t *s = i->data;
         next = i->next;
-        if (s->held_us != 0 && now_us >= s->held_us) {
-            s->held_us = 0;
-            s->probation_us = now_us + l->memory_us;
+        if (s->quarantined_until_us != 0 &&
+            now_us >= s->quarantined_until_us) {
+            s->quarantined_until_us = 0;
+            s->probation_until_us = now_us + l->memory_us;
             s->count = 0;
-            l->held--;
-            end_doubt(l, s);
+            l->quarantined--;
+            clear_uncertain(l, s);
         }
-        if (s->held_us == 0 && now_us >= s->forget_us) {
+        if (s->quarantined_until_us == 0 && now_us >= s->order_expires_us) {
             g_queue_delete_link(&l->orders, i);
             s->link = NULL;
-            suspect_release(l, s);
+            suspect_remove_unused(l, s);
         }
     }
 }
@@ -656,17 +657,17 @@
 /* The doubted request that was tried the longest ago, if that is long enough.
  */
 static suspect_t *
-next_trial(const crash_ledger_t *l, gint64 now_us)
+next_probe(const crash_ledger_t *l, gint64 now_us)
 {
     suspect_t *next = NULL;
     for (GList *i = l->orders.head; i != NULL; i = i->next) {
         suspect_t *s = i->data;
-        gboolean due = s->doubted && now_us - s->tried_us >= TRIAL_US;
-        gboolean first =
-            next == NULL || s->tried_us < next->tried_us ||
-            (s->tried_us == next->tried_us &&
+        gboolean due = s->uncertain && now_us - s->probed_us >= PROBE_US;
+        gboolean earlier =
+            next == NULL || s->probed_us < next->probed_us ||
+            (s->probed_us == next->probed_us &&
              s->fingerprint < next->fingerprint); /* alike at all instances */
-        if (due && first) {
+        if (due && earlier) {
             next = s;
         }
     }
@@ -675,34 +676,34 @@
 
 /* Ends a trial that brought nothing, and begins the next. */
 static void
-judge_trials(crash_ledger_t *l, gint64 now_us)
+update_probe(crash_ledger_t *l, gint64 now_us)
 {
-    suspect_t *s = l->on_trial;
-    if (s != NULL && now_us < l->trial_end_us) {
+    suspect_t *s = l->probing;
+    if (s != NULL && now_us < l->probe_end_us) {
         return;
     }
-    l->on_trial = NULL;
+    l->probing = NULL;
     if (s != NULL) {
-        order_changed(l, s, now_us);
+        order_update(l, s, now_us);
     }
-    s = next_trial(l, now_us);
+    s = next_probe(l, now_us);
     if (s == NULL) {
         return;
     }
-    s->tried_us = now_us;
-    s->trials++;
-    l->on_trial = s;
-    l->trial_end_us = now_us + TRIAL_US;
-    order_changed(l, s, now_us);
+    s->probed_us = now_us;
+    s->probes++;
+    l->probing = s;
+    l->probe_end_us = now_us + PROBE_US;
+    order_update(l, s, now_us);
 }
 
 void
-crash_ledger_judge(crash_ledger_t *l, gint64 now_us)
+crash_ledger_evaluate(crash_ledger_t *l, gint64 now_us)
 {
     expire_ends(l, now_us);
     expire_orders(l, now_us);
-    judge_ripe(l, now_us);
-    judge_trials(l, now_us);
+    evaluate_due(l, now_us);
+    update_probe(l, now_us);
 }
 
 /* ---- what is told ---- */
@@ -714,42 +715,44 @@
 }
 
 GArray *
-crash_ledger_since(const crash_ledger_t *l, guint64 *cursor, guint most,
-                   gint64 now_us)
+crash_ledger_orders_since(const crash_ledger_t *l, guint64 *cursor,
+                          guint max_count, gint64 now_us)
 {
     GArray *orders = quarantine_orders_new();
-    GList *from = l->orders.tail;
-    while (from != NULL && from->prev != NULL &&
-           ((suspect_t *)from->prev->data)->changed > *cursor) {
-        from = from->prev;
-    }
-    guint64 after = *cursor;
-    for (; from != NULL && orders->len < most; from = from->next) {
-        const suspect_t *s = from->data;
-        if (s->changed <= after) {
+    GList *link = l->orders.tail;
+    while (link != NULL && link->prev != NULL &&
+           ((suspect_t *)link->prev->data)->order_cursor > *cursor) {
+        link = link->prev;
+    }
+    guint64 since = *cursor;
+    for (; link != NULL && orders->len < max_count; link = link->next) {
+        const suspect_t *s = link->data;
+        if (s->order_cursor <= since) {
             continue;
         }
         quarantine_order_t order = {
             .fingerprint = s->fingerprint,
-            .left_us = s->held_us != 0 ? MAX(s->held_us - now_us, 0) : 0,
+            .left_us = s->quarantined_until_us != 0
+                           ? MAX(s->quarantined_until_us - now_us, 0)
+                           : 0,
             .since_us = now_us - s->since_us,
             .endpoints = g_strdup(s->endpoints != NULL ? s->endpoints : ""),
-            .doubted = s->doubted,
-            .trial = l->on_trial == s ? s->trials : 0,
+            .uncertain = s->uncertain,
+            .probe = l->probing == s ? s->probes : 0,
         };
         g_array_append_val(orders, order);
-        *cursor = s->changed;
+        *cursor = s->order_cursor;
     }
-    if (from == NULL) {
+    if (link == NULL) {
         *cursor = l->cursor; /* of orders that are forgotten, too */
     }
     return orders;
 }
 
 guint
-crash_ledger_held(const crash_ledger_t *l)
+crash_ledger_quarantined(const crash_ledger_t *l)
 {
-    return l->held;
+    return l->quarantined;
 }
 
 guint
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -278,7 +278,7 @@
 {
     const limit_state_t *state = g_hash_table_lookup(d->early, &e->hash);
     if (state != NULL) {
-        endpoint_limit_told(directory_limit(d, e), state, now_us);
+        endpoint_limit_apply_state(directory_limit(d, e), state, now_us);
         g_hash_table_remove(d->early, &e->hash);
     }
 }
@@ -583,7 +583,8 @@
         keep_early_limit(d, state);
     }
     else if (e->limit != NULL || state->limited) {
-        *change = endpoint_limit_told(directory_limit(d, e), state, now_us);
+        *change =
+            endpoint_limit_apply_state(directory_limit(d, e), state, now_us);
     }
     return e;
 }
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -4,36 +4,36 @@
     MS = 1000,
     /* For which an instance's own news goes before what the owner says, which
      * may not have heard it yet. */
-    SETTLE_US = 500 * MS,
-    WANTED_MOST = 1000,
+    OWNER_LAG_US = 500 * MS,
+    WANTED_MAX = 1000,
     /* Between two reports to the relay, where answers still name the limit:
      * well within the time that it keeps one. */
-    REPORT_US = 2000 * MS,
+    RELAY_REPORT_US = 2000 * MS,
     /* For which a request that was kept away is a reason to ask: its caller,
      * or the next one, comes in that time. */
-    WAIT_US = 1000 * MS,
+    DENIED_US = 1000 * MS,
 };
 
-const double LIMIT_TRIAL_RATE = 0.6;
+const double LIMIT_SEND_RATE_MIN = 0.6;
 
 /* Of the limit, for all instances that no owner answers: together with what
  * an owner may grant to the others, it stays below the limit's bound. */
-static const double ALONE_PART = 0.15;
+static const double OWNERLESS_FRACTION = 0.15;
 
 /* A rate that is lower by less leaves granted sends as they are. */
-static const double LOWER_PART = 0.9;
+static const double TOKENS_KEPT_FRACTION = 0.9;
 
 static void
-set_news(endpoint_limit_t *l)
+set_update_due(endpoint_limit_t *l)
 {
-    l->news = TRUE;
-    l->report_due = TRUE;
+    l->update_due = TRUE;
+    l->relay_report_due = TRUE;
 }
 
 static void
 drop_tokens(endpoint_limit_t *l)
 {
-    l->dropped = l->dropped || l->tokens > 0;
+    l->tokens_dropped = l->tokens_dropped || l->tokens > 0;
     l->tokens = 0;
 }
 
@@ -43,7 +43,7 @@
     if (l->rate == rate) {
         return LIMIT_UNCHANGED;
     }
-    if (rate < l->rate * LOWER_PART) {
+    if (rate < l->rate * TOKENS_KEPT_FRACTION) {
         drop_tokens(l);
     }
     l->rate = rate;
@@ -51,99 +51,101 @@
 }
 
 static limit_change_t
-begin(endpoint_limit_t *l, double rate)
+begin_limit(endpoint_limit_t *l, double rate)
 {
     l->limited = TRUE;
     l->rate = rate;
-    l->sent_us = 0;
-    l->named_us = 0;
-    l->told_us = 0;
+    l->request_sent_us = 0;
+    l->rate_received_us = 0;
+    l->owner_rate_us = 0;
     l->wanted = 0;
-    l->alone_us = 0;
-    return LIMIT_FIRST;
+    l->ownerless_send_us = 0;
+    return LIMIT_BEGUN;
 }
 
 static limit_change_t
-lift(endpoint_limit_t *l, gint64 lifted_us, gboolean here)
+lift_limit(endpoint_limit_t *l, gint64 lifted_us, gboolean by_response)
 {
     l->limited = FALSE;
     l->lifted_us = lifted_us;
-    l->lifted_here = here;
+    l->lifted_by_response = by_response;
     l->disputed = FALSE;
     drop_tokens(l);
     return LIMIT_LIFTED;
 }
 
 limit_change_t
-endpoint_limit_named(endpoint_limit_t *l, double rate, gint64 sent_us,
-                     gint64 now_us)
+endpoint_limit_record_rate(endpoint_limit_t *l, double rate, gint64 sent_us,
+                           gint64 now_us)
 {
     if (!l->limited) {
         if (l->lifted_us != 0 && sent_us <= l->lifted_us) {
             return LIMIT_UNCHANGED;
         }
-        set_news(l);
-        begin(l, rate);
-        l->sent_us = sent_us;
-        l->named_us = now_us;
-        return LIMIT_FIRST;
+        set_update_due(l);
+        begin_limit(l, rate);
+        l->request_sent_us = sent_us;
+        l->rate_received_us = now_us;
+        return LIMIT_BEGUN;
     }
-    l->named_us = now_us;
-    l->report_due = l->report_due || now_us - l->reported_us >= REPORT_US;
-    if (sent_us < MAX(l->sent_us, l->told_us)) {
+    l->rate_received_us = now_us;
+    l->relay_report_due = l->relay_report_due ||
+                          now_us - l->relay_reported_us >= RELAY_REPORT_US;
+    if (sent_us < MAX(l->request_sent_us, l->owner_rate_us)) {
         return LIMIT_UNCHANGED;
     }
-    l->sent_us = sent_us;
+    l->request_sent_us = sent_us;
     limit_change_t change = set_rate(l, rate);
     if (change != LIMIT_UNCHANGED) {
-        set_news(l);
+        set_update_due(l);
     }
     return change;
 }
 
 limit_change_t
-endpoint_limit_absent(endpoint_limit_t *l, gint64 sent_us)
+endpoint_limit_record_unlimited(endpoint_limit_t *l, gint64 sent_us)
 {
     if (l->disputed && sent_us > l->lifted_us) {
         l->lifted_us = sent_us;
         l->disputed = FALSE;
-        set_news(l);
+        set_update_due(l);
     }
-    if (!l->limited || sent_us <= MAX(l->named_us, l->told_us)) {
+    if (!l->limited || sent_us <= MAX(l->rate_received_us, l->owner_rate_us)) {
         return LIMIT_UNCHANGED;
     }
-    set_news(l);
-    return lift(l, sent_us, TRUE);
+    set_update_due(l);
+    return lift_limit(l, sent_us, TRUE);
 }
 
 limit_change_t
-endpoint_limit_told(endpoint_limit_t *l, const limit_state_t *state,
-                    gint64 now_us)
+endpoint_limit_apply_state(endpoint_limit_t *l, const limit_state_t *state,
+                           gint64 now_us)
 {
-    if (l->news) {
+    if (l->update_due) {
         return LIMIT_UNCHANGED;
     }
     if (!l->limited) {
         gboolean settled =
-            l->lifted_us == 0 || now_us - l->lifted_us >= SETTLE_US;
+            l->lifted_us == 0 || now_us - l->lifted_us >= OWNER_LAG_US;
         if (!state->limited || !settled) {
             l->disputed = state->limited;
             return LIMIT_UNCHANGED;
         }
-        begin(l, state->rate);
-        l->told_us = now_us;
-        return LIMIT_FIRST;
+        begin_limit(l, state->rate);
+        l->owner_rate_us = now_us;
+        return LIMIT_BEGUN;
     }
-    if (l->named_us != 0 && now_us - l->named_us < SETTLE_US) {
-        l->report_due = l->report_due || !state->limited;
+    if (l->rate_received_us != 0 &&
+        now_us - l->rate_received_us < OWNER_LAG_US) {
+        l->relay_report_due = l->relay_report_due || !state->limited;
         return LIMIT_UNCHANGED;
     }
     if (!state->limited) {
-        return lift(l, now_us, FALSE);
+        return lift_limit(l, now_us, FALSE);
     }
     limit_change_t change = set_rate(l, state->rate);
     if (change != LIMIT_UNCHANGED) {
-        l->told_us = now_us;
+        l->owner_rate_us = now_us;
     }
     return change;
 }
@@ -151,48 +153,48 @@
 gboolean
 endpoint_limit_allows(const endpoint_limit_t *l, gint64 now_us)
 {
-    if (!l->limited || (l->tokens > 0 && now_us < l->tokens_until_us)) {
+    if (!l->limited || (l->tokens > 0 && now_us < l->tokens_expire_us)) {
         return TRUE;
     }
-    return l->alone_us != 0 && now_us >= l->alone_us;
+    return l->ownerless_send_us != 0 && now_us >= l->ownerless_send_us;
 }
 
 /* Between two sends of one instance that no owner answers. */
 static gint64
-alone_gap_us(const endpoint_limit_t *l, guint instances)
+ownerless_interval_us(const endpoint_limit_t *l, guint instances)
 {
-    double rate = ALONE_PART * MAX(l->rate, LIMIT_TRIAL_RATE);
+    double rate = OWNERLESS_FRACTION * MAX(l->rate, LIMIT_SEND_RATE_MIN);
     return (gint64)(MAX(instances, 1) / rate * G_USEC_PER_SEC);
 }
 
 void
-endpoint_limit_spend(endpoint_limit_t *l, guint instances, gint64 now_us)
+endpoint_limit_record_send(endpoint_limit_t *l, guint instances, gint64 now_us)
 {
     if (!l->limited) {
         return;
     }
     l->sends++;
-    l->wanted = MIN(l->wanted + 1, WANTED_MOST);
-    if (l->tokens > 0 && now_us < l->tokens_until_us) {
+    l->wanted = MIN(l->wanted + 1, WANTED_MAX);
+    if (l->tokens > 0 && now_us < l->tokens_expire_us) {
         l->tokens--;
         l->used++;
         return;
     }
-    l->alone_us = now_us + alone_gap_us(l, instances);
+    l->ownerless_send_us = now_us + ownerless_interval_us(l, instances);
 }
 
 void
-endpoint_limit_deny(endpoint_limit_t *l, gint64 now_us)
+endpoint_limit_record_denied(endpoint_limit_t *l, gint64 now_us)
 {
     l->denied++;
-    l->wanted_us = now_us;
-    l->wanted = MIN(l->wanted + 1, WANTED_MOST);
+    l->denied_us = now_us;
+    l->wanted = MIN(l->wanted + 1, WANTED_MAX);
 }
 
 void
 endpoint_limit_expire(endpoint_limit_t *l, gint64 now_us)
 {
-    if (l->tokens > 0 && now_us >= l->tokens_until_us) {
+    if (l->tokens > 0 && now_us >= l->tokens_expire_us) {
         drop_tokens(l);
     }
 }
@@ -200,27 +202,27 @@
 /* Sends to be asked for. Where one was kept away, one at least, until it is
  * granted: who asks again keeps its turn. */
 static guint32
-wanted_now(const endpoint_limit_t *l, gint64 now_us)
+grants_wanted(const endpoint_limit_t *l, gint64 now_us)
 {
     if (!l->limited) {
         return 0;
     }
-    gboolean waits =
-        l->tokens == 0 && l->wanted_us != 0 && now_us - l->wanted_us < WAIT_US;
+    gboolean waiting = l->tokens == 0 && l->denied_us != 0 &&
+                       now_us - l->denied_us < DENIED_US;
     guint more = l->wanted > l->tokens ? l->wanted - l->tokens : 0;
-    return more == 0 && waits ? 1 : more;
+    return more == 0 && waiting ? 1 : more;
 }
 
 gboolean
-endpoint_limit_has_news(const endpoint_limit_t *l)
+endpoint_limit_has_update(const endpoint_limit_t *l)
 {
-    return l->news || l->dropped || l->used > l->used_told;
+    return l->update_due || l->tokens_dropped || l->used > l->used_reported;
 }
 
 gboolean
-endpoint_limit_has_wants(const endpoint_limit_t *l, gint64 now_us)
+endpoint_limit_needs_grants(const endpoint_limit_t *l, gint64 now_us)
 {
-    return wanted_now(l, now_us) > 0;
+    return grants_wanted(l, now_us) > 0;
 }
 
 /* `at_us` is 0 where there is no such moment. */
@@ -234,55 +236,59 @@
 }
 
 static void
-fill_state(const endpoint_limit_t *l, limit_ask_t *ask, gint64 now_us)
+fill_state(const endpoint_limit_t *l, limit_request_t *request, gint64 now_us)
 {
-    gint64 lifted_us = l->lifted_here ? l->lifted_us : 0;
-    ask->limited = l->limited;
-    ask->rate = l->rate;
-    ask->sent_age_ms = age_ms(l->limited ? l->sent_us : lifted_us, now_us);
-    ask->heard_age_ms = age_ms(l->named_us, now_us);
+    gint64 lifted_us = l->lifted_by_response ? l->lifted_us : 0;
+    request->limited = l->limited;
+    request->rate = l->rate;
+    request->request_age_ms =
+        age_ms(l->limited ? l->request_sent_us : lifted_us, now_us);
+    request->rate_age_ms = age_ms(l->rate_received_us, now_us);
 }
 
 gboolean
 endpoint_limit_has_report(const endpoint_limit_t *l)
 {
-    return l->report_due;
+    return l->relay_report_due;
 }
 
 void
-endpoint_limit_report(endpoint_limit_t *l, limit_ask_t *ask, gint64 now_us)
+endpoint_limit_fill_report(endpoint_limit_t *l, limit_request_t *request,
+                           gint64 now_us)
 {
-    fill_state(l, ask, now_us);
-    l->report_due = FALSE;
-    l->reported_us = now_us;
+    fill_state(l, request, now_us);
+    l->relay_report_due = FALSE;
+    l->relay_reported_us = now_us;
 }
 
 void
-endpoint_limit_ask(endpoint_limit_t *l, limit_ask_t *ask, gint64 now_us)
+endpoint_limit_fill_request(endpoint_limit_t *l, limit_request_t *request,
+                            gint64 now_us)
 {
-    fill_state(l, ask, now_us);
-    ask->wanted = wanted_now(l, now_us);
-    ask->held = l->tokens;
-    ask->used = l->used;
-    l->used_told = l->used;
+    fill_state(l, request, now_us);
+    request->wanted = grants_wanted(l, now_us);
+    request->outstanding = l->tokens;
+    request->used = l->used;
+    l->used_reported = l->used;
     l->wanted = 0;
-    l->news = FALSE;
-    l->dropped = FALSE;
+    l->update_due = FALSE;
+    l->tokens_dropped = FALSE;
 }
 
 limit_change_t
-endpoint_limit_granted(endpoint_limit_t *l, const limit_grant_t *grant,
-                       gint64 asked_us, gint64 now_us)
+endpoint_limit_apply_grant(endpoint_limit_t *l, const limit_grant_t *grant,
+                           gint64 requested_us, gint64 now_us)
 {
-    gint64 until_us = asked_us + (gint64)LIMIT_GRANT_MS * MS;
-    l->alone_us = 0;
-    limit_change_t change = endpoint_limit_told(l, &grant->state, now_us);
+    gint64 until_us = requested_us + (gint64)LIMIT_GRANT_LIFETIME_MS * MS;
+    l->ownerless_send_us = 0;
+    limit_change_t change =
+        endpoint_limit_apply_state(l, &grant->state, now_us);
     if (grant->granted == 0) {
         return change;
     }
     l->tokens += grant->granted;
-    l->tokens_until_us = until_us;
-    l->wanted_us = 0;
+    l->tokens_expire_us = until_us;
+    l->denied_us = 0;
     if (!l->limited) {
         drop_tokens(l);
     }
@@ -291,11 +297,12 @@
 }
 
 void
-endpoint_limit_alone(endpoint_limit_t *l, guint instances, double draw,
-                     gint64 now_us)
+endpoint_limit_owner_lost(endpoint_limit_t *l, guint instances, double draw,
+                          gint64 now_us)
 {
-    if (l->limited && l->alone_us == 0) {
-        l->alone_us =
-            now_us + (gint64)(draw * (double)alone_gap_us(l, instances)) + 1;
+    if (l->limited && l->ownerless_send_us == 0) {
+        l->ownerless_send_us =
+            now_us +
+            (gint64)(draw * (double)ownerless_interval_us(l, instances)) + 1;
     }
 }
--- a/policy/fingerprint.c
+++ b/policy/fingerprint.c
@@ -15,8 +15,8 @@
 }
 
 void
-fingerprint_text(guint64 fingerprint, char text[FINGERPRINT_TEXT])
+fingerprint_format(guint64 fingerprint, char text[FINGERPRINT_TEXT_SIZE])
 {
-    g_snprintf(text, FINGERPRINT_TEXT, "%016" G_GINT64_MODIFIER "x",
+    g_snprintf(text, FINGERPRINT_TEXT_SIZE, "%016" G_GINT64_MODIFIER "x",
                fingerprint);
 }
--- a/policy/instance_count.c
+++ b/policy/instance_count.c
@@ -2,27 +2,29 @@
 
 /* A control instance that starts again counts all that ask within seconds;
  * one behind a cut, once that is over. */
-enum { SPAN_US = 30 * 1000 * 1000 };
+enum { WINDOW_US = 30 * 1000 * 1000 };
 
 void
-instance_count_note(instance_count_t *c, guint told, gint64 now_us)
+instance_count_record(instance_count_t *c, guint reported, gint64 now_us)
 {
-    if (now_us - c->since_us >= SPAN_US) {
-        c->before = now_us - c->since_us < 2 * (gint64)SPAN_US ? c->most : 0;
-        c->most = 0;
-        c->since_us = now_us;
+    if (now_us - c->window_start_us >= WINDOW_US) {
+        c->previous_max = now_us - c->window_start_us < 2 * (gint64)WINDOW_US
+                              ? c->window_max
+                              : 0;
+        c->window_max = 0;
+        c->window_start_us = now_us;
     }
-    c->most = MAX(c->most, told);
+    c->window_max = MAX(c->window_max, reported);
 }
 
 guint
 instance_count_get(const instance_count_t *c)
 {
-    return MAX(MAX(c->most, c->before), 1);
+    return MAX(MAX(c->window_max, c->previous_max), 1);
 }
 
 guint
-instance_count_share(const instance_count_t *c, guint whole, guint least)
+instance_count_share(const instance_count_t *c, guint whole, guint min_share)
 {
-    return MAX(whole / instance_count_get(c), least);
+    return MAX(whole / instance_count_get(c), min_share);
 }
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -4,55 +4,55 @@
 
 enum {
     MS = 1000,
-    /* A grant is used within LIMIT_GRANT_MS, or returned with the next ask; a
-     * second more for one that is late. */
-    LENT_US = (LIMIT_GRANT_MS + 1000) * MS,
+    /* A grant is used within LIMIT_GRANT_LIFETIME_MS, or returned with the
+     * next ask; a second more for one that is late. */
+    GRANT_EXPIRY_US = (LIMIT_GRANT_LIFETIME_MS + 1000) * MS,
     /* An instance that asked for sends within so long counts as one that has
      * a use for some. */
     WANTING_US = 1000 * MS,
-    HOLDER_KEPT_US = 10 * 1000 * MS,
-    LIMIT_KEPT_US = 60 * 1000 * MS,
+    GRANTEE_TIMEOUT_US = 10 * 1000 * MS,
+    OWNED_TIMEOUT_US = 60 * 1000 * MS,
     /* The same of one that is only relayed: until endpoints that instances try
      * without an owner have named their limits again. */
-    RELAYED_KEPT_US = 30 * 1000 * MS,
+    RELAYED_TIMEOUT_US = 30 * 1000 * MS,
 };
 
 /* Of the limit, what is granted in the long run. */
-static const double FILL_PART = 0.95;
+static const double GRANT_FRACTION = 0.95;
 /* Grants in hand and to be had at once, in seconds of the limit, and sends
  * beyond. With the fill of 4 s that is 5.05 times the limit and 2.2, of 6
  * times and 5 that are borne; the rest is for instances that no owner
  * answers. */
-static const double CREDIT_S = 1.25;
-static const double CREDIT_LEAST = 2.2;
+static const double CREDIT_MAX_S = 1.25;
+static const double CREDIT_MAX_EXTRA = 2.2;
 /* A rate is told anew to all when it differs by more. */
-static const double TOLD_PART = 0.1;
+static const double REPUBLISH_FRACTION = 0.1;
 
 typedef struct {
     char *name;
     guint64 incarnation;
-    guint64 sequence; /* of its last ask */
-    guint64 used;     /* as told */
-    guint lent;       /* grants that may still be used */
-    gint64 lent_until_us;
-    gint64 asked_us;
+    guint64 sequence;  /* of its last ask */
+    guint64 used;      /* as told */
+    guint outstanding; /* grants that may still be used */
+    gint64 outstanding_until_us;
+    gint64 requested_us;
     gint64 wanted_us; /* when it last asked for sends */
-} holder_t;
+} grantee_t;
 
 typedef struct {
     limit_state_t state;
-    gboolean owned;   /* FALSE: it is only relayed */
-    gint64 sent_us;   /* of the request that told the rate */
-    gint64 named_us;  /* when it was last named to some instance */
-    gint64 lifted_us; /* see endpoint_limit_t */
-    gint64 asked_us;
-    guint64 number; /* of its last change */
-    double told_rate;
+    gboolean owned;          /* FALSE: it is only relayed */
+    gint64 request_sent_us;  /* of the request that told the rate */
+    gint64 rate_received_us; /* when it was last named to some instance */
+    gint64 lifted_us;        /* see endpoint_limit_t */
+    gint64 requested_us;
+    guint64 change_cursor; /* of its last change */
+    double published_rate;
     double credit; /* sends that may be granted now */
     gint64 filled_us;
-    guint lent;          /* of all holders */
-    GHashTable *holders; /* name -> holder_t */
-    guint wanting;       /* of these, as last counted */
+    guint outstanding;    /* of all holders */
+    GHashTable *grantees; /* name -> holder_t */
+    guint wanting;        /* of these, as last counted */
 } limit_t;
 
 struct limit_quota {
@@ -64,23 +64,23 @@
 /* ---- limits and holders ---- */
 
 static void
-holder_free(gpointer data)
+grantee_free(gpointer data)
 {
-    holder_t *h = data;
-    g_free(h->name);
-    g_free(h);
+    grantee_t *g = data;
+    g_free(g->name);
+    g_free(g);
 }
 
 static void
 limit_free(gpointer data)
 {
     limit_t *l = data;
-    g_hash_table_unref(l->holders);
+    g_hash_table_unref(l->grantees);
     g_free(l);
 }
 
 static limit_t *
-limit_of(limit_quota_t *q, guint64 endpoint, gint64 now_us)
+limit_find_or_create(limit_quota_t *q, guint64 endpoint, gint64 now_us)
 {
     limit_t *l = g_hash_table_lookup(q->limits, &endpoint);
     if (l != NULL) {
@@ -88,16 +88,16 @@
     }
     l = g_new0(limit_t, 1);
     l->state.endpoint = endpoint;
-    l->asked_us = now_us;
-    l->holders =
-        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, holder_free);
+    l->requested_us = now_us;
+    l->grantees =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, grantee_free);
     g_hash_table_insert(q->limits, &l->state.endpoint, l);
     return l;
 }
 
 /* What an owner before it granted may still be used. */
 static void
-own(limit_t *l, gint64 now_us)
+limit_take_ownership(limit_t *l, gint64 now_us)
 {
     if (!l->owned) {
         l->owned = TRUE;
@@ -106,26 +106,27 @@
     }
 }
 
-static holder_t *
-holder_of(limit_t *l, const limit_asker_t *asker, const limit_ask_t *ask)
+static grantee_t *
+grantee_find_or_create(limit_t *l, const limit_requester_t *requester,
+                       const limit_request_t *request)
 {
-    holder_t *h = g_hash_table_lookup(l->holders, asker->name);
-    if (h == NULL) {
-        h = g_new0(holder_t, 1);
-        h->name = g_strdup(asker->name);
-        h->incarnation = asker->incarnation;
-        h->used = ask->used;
-        g_hash_table_insert(l->holders, h->name, h);
+    grantee_t *g = g_hash_table_lookup(l->grantees, requester->name);
+    if (g == NULL) {
+        g = g_new0(grantee_t, 1);
+        g->name = g_strdup(requester->name);
+        g->incarnation = requester->incarnation;
+        g->used = request->used;
+        g_hash_table_insert(l->grantees, g->name, g);
     }
-    if (h->incarnation != asker->incarnation) {
+    if (g->incarnation != requester->incarnation) {
         /* What its last start held counts as used. */
-        l->lent -= h->lent;
-        h->lent = 0;
-        h->incarnation = asker->incarnation;
-        h->sequence = 0;
-        h->used = ask->used;
+        l->outstanding -= g->outstanding;
+        g->outstanding = 0;
+        g->incarnation = requester->incarnation;
+        g->sequence = 0;
+        g->used = request->used;
     }
-    return h;
+    return g;
 }
 
 /* ---- what is known of a limit ---- */
@@ -136,128 +137,131 @@
     q->in_force += limited;
     q->in_force -= l->state.limited;
     l->state.limited = limited;
-    l->told_rate = l->state.rate;
-    l->number = ++q->changes;
+    l->published_rate = l->state.rate;
+    l->change_cursor = ++q->changes;
 }
 
 static gboolean
-is_told(const limit_t *l)
+rate_is_published(const limit_t *l)
 {
-    double difference = ABS(l->state.rate - l->told_rate);
-    return difference <= TOLD_PART * l->told_rate;
+    double difference = ABS(l->state.rate - l->published_rate);
+    return difference <= REPUBLISH_FRACTION * l->published_rate;
 }
 
 /* From an instance that was told by an owner. */
 static void
-take_known(limit_quota_t *q, limit_t *l, const limit_ask_t *ask)
+apply_owner_rate(limit_quota_t *q, limit_t *l, const limit_request_t *request)
 {
-    if (l->number == 0) { /* that owner is gone, or forgot it */
-        l->state.rate = ask->rate;
+    if (l->change_cursor == 0) { /* that owner is gone, or forgot it */
+        l->state.rate = request->rate;
         publish(q, l, TRUE);
     }
 }
 
 static void
-take_named(limit_quota_t *q, limit_t *l, const limit_ask_t *ask, gint64 now_us)
+apply_rate(limit_quota_t *q, limit_t *l, const limit_request_t *request,
+           gint64 now_us)
 {
-    if (ask->sent_age_ms == LIMIT_AGE_UNKNOWN) {
-        take_known(q, l, ask);
+    if (request->request_age_ms == LIMIT_AGE_UNKNOWN) {
+        apply_owner_rate(q, l, request);
         return;
     }
-    gint64 sent_us = now_us - ask->sent_age_ms * (gint64)MS;
-    gint64 heard_us = now_us - ask->heard_age_ms * (gint64)MS;
-    if (l->lifted_us != 0 && sent_us <= l->lifted_us) {
+    gint64 request_sent_us = now_us - request->request_age_ms * (gint64)MS;
+    gint64 rate_received_us = now_us - request->rate_age_ms * (gint64)MS;
+    if (l->lifted_us != 0 && request_sent_us <= l->lifted_us) {
         return;
     }
-    l->named_us = MAX(l->named_us, heard_us);
-    if (l->state.limited && sent_us < l->sent_us) {
+    l->rate_received_us = MAX(l->rate_received_us, rate_received_us);
+    if (l->state.limited && request_sent_us < l->request_sent_us) {
         return;
     }
-    l->sent_us = sent_us;
-    l->state.rate = ask->rate;
-    if (!l->state.limited || !is_told(l)) {
+    l->request_sent_us = request_sent_us;
+    l->state.rate = request->rate;
+    if (!l->state.limited || !rate_is_published(l)) {
         publish(q, l, TRUE);
     }
 }
 
 static void
-take_lifted(limit_quota_t *q, limit_t *l, const limit_ask_t *ask,
-            gint64 now_us)
+apply_lifted(limit_quota_t *q, limit_t *l, const limit_request_t *request,
+             gint64 now_us)
 {
-    gint64 sent_us = now_us - ask->sent_age_ms * (gint64)MS;
-    if (ask->sent_age_ms == LIMIT_AGE_UNKNOWN || sent_us <= l->named_us ||
-        sent_us <= l->lifted_us) {
+    gint64 request_sent_us = now_us - request->request_age_ms * (gint64)MS;
+    if (request->request_age_ms == LIMIT_AGE_UNKNOWN ||
+        request_sent_us <= l->rate_received_us ||
+        request_sent_us <= l->lifted_us) {
         return;
     }
-    l->lifted_us = sent_us;
+    l->lifted_us = request_sent_us;
     publish(q, l, FALSE);
 }
 
 static void
-take_report(limit_quota_t *q, limit_t *l, const limit_ask_t *ask,
-            gint64 now_us)
+apply_report(limit_quota_t *q, limit_t *l, const limit_request_t *request,
+             gint64 now_us)
 {
-    l->asked_us = now_us;
-    if (ask->limited) {
-        take_named(q, l, ask, now_us);
+    l->requested_us = now_us;
+    if (request->limited) {
+        apply_rate(q, l, request, now_us);
     }
     else {
-        take_lifted(q, l, ask, now_us);
+        apply_lifted(q, l, request, now_us);
     }
 }
 
 void
-limit_quota_take_report(limit_quota_t *q, const limit_ask_t *ask,
-                        gint64 now_us)
+limit_quota_apply_report(limit_quota_t *q, const limit_request_t *request,
+                         gint64 now_us)
 {
-    if (ask->sent_age_ms != LIMIT_AGE_UNKNOWN) {
-        take_report(q, limit_of(q, ask->endpoint, now_us), ask, now_us);
+    if (request->request_age_ms != LIMIT_AGE_UNKNOWN) {
+        apply_report(q, limit_find_or_create(q, request->endpoint, now_us),
+                     request, now_us);
     }
 }
 
 /* ---- grants ---- */
 
 static double
-credit_most(const limit_t *l)
+credit_max(const limit_t *l)
 {
-    return CREDIT_S * l->state.rate + CREDIT_LEAST;
+    return CREDIT_MAX_S * l->state.rate + CREDIT_MAX_EXTRA;
 }
 
 static void
-fill(limit_t *l, gint64 now_us)
+credit_refill(limit_t *l, gint64 now_us)
 {
-    double rate = MAX(FILL_PART * l->state.rate, LIMIT_TRIAL_RATE);
+    double rate = MAX(GRANT_FRACTION * l->state.rate, LIMIT_SEND_RATE_MIN);
     double seconds = (double)(now_us - l->filled_us) / G_USEC_PER_SEC;
-    double room = MAX(credit_most(l) - l->lent, 0);
+    double room = MAX(credit_max(l) - l->outstanding, 0);
     l->filled_us = now_us;
     l->credit = MIN(l->credit + rate * seconds, room);
 }
 
 /* Its grants are over, used or not. */
 static void
-holder_expire(limit_t *l, holder_t *h, gint64 now_us)
+grantee_expire(limit_t *l, grantee_t *g, gint64 now_us)
 {
-    if (h->lent > 0 && now_us >= h->lent_until_us) {
-        l->lent -= h->lent;
-        h->lent = 0;
+    if (g->outstanding > 0 && now_us >= g->outstanding_until_us) {
+        l->outstanding -= g->outstanding;
+        g->outstanding = 0;
     }
 }
 
 /* Grants that it neither used nor holds were returned, or never reached it. */
 static void
-settle(limit_t *l, holder_t *h, const limit_ask_t *ask)
+grantee_settle(limit_t *l, grantee_t *g, const limit_request_t *request)
 {
-    guint gone = h->lent - MIN(h->lent, ask->held);
-    guint64 used = ask->used - MIN(ask->used, h->used);
+    guint gone = g->outstanding - MIN(g->outstanding, request->outstanding);
+    guint64 used = request->used - MIN(request->used, g->used);
     l->credit += gone - MIN(gone, used);
-    l->lent = l->lent - h->lent + ask->held;
-    h->lent = ask->held;
-    h->used = ask->used;
+    l->outstanding = l->outstanding - g->outstanding + request->outstanding;
+    g->outstanding = request->outstanding;
+    g->used = request->used;
 }
 
 /* A part of what may be granted goes to each that has a use for it. */
 static guint32
-grant(limit_t *l, holder_t *h, guint32 wanted, gint64 now_us)
+grantee_grant(limit_t *l, grantee_t *g, guint32 wanted, gint64 now_us)
 {
     if (wanted == 0 || l->credit < 1) {
         return 0;
@@ -265,32 +269,32 @@
     guint share = MAX((guint)l->credit / MAX(l->wanting, 1), 1);
     guint granted = MIN(share, wanted);
     l->credit -= granted;
-    l->lent += granted;
-    h->lent += granted;
-    h->lent_until_us = now_us + LENT_US;
+    l->outstanding += granted;
+    g->outstanding += granted;
+    g->outstanding_until_us = now_us + GRANT_EXPIRY_US;
     return granted;
 }
 
 limit_grant_t
-limit_quota_ask(limit_quota_t *q, const limit_asker_t *asker,
-                const limit_ask_t *ask, gint64 now_us)
+limit_quota_request(limit_quota_t *q, const limit_requester_t *requester,
+                    const limit_request_t *request, gint64 now_us)
 {
-    limit_t *l = limit_of(q, ask->endpoint, now_us);
-    holder_t *h = holder_of(l, asker, ask);
-    own(l, now_us);
-    if (asker->sequence <= h->sequence) {
+    limit_t *l = limit_find_or_create(q, request->endpoint, now_us);
+    grantee_t *g = grantee_find_or_create(l, requester, request);
+    limit_take_ownership(l, now_us);
+    if (requester->sequence <= g->sequence) {
         return (limit_grant_t){.state = l->state};
     }
-    h->sequence = asker->sequence;
-    h->asked_us = now_us;
-    h->wanted_us = ask->wanted > 0 ? now_us : h->wanted_us;
-    take_report(q, l, ask, now_us);
-    holder_expire(l, h, now_us);
-    settle(l, h, ask);
-    fill(l, now_us);
+    g->sequence = requester->sequence;
+    g->requested_us = now_us;
+    g->wanted_us = request->wanted > 0 ? now_us : g->wanted_us;
+    apply_report(q, l, request, now_us);
+    grantee_expire(l, g, now_us);
+    grantee_settle(l, g, request);
+    credit_refill(l, now_us);
     limit_grant_t answer = {.state = l->state};
     if (l->state.limited) {
-        answer.granted = grant(l, h, ask->wanted, now_us);
+        answer.granted = grantee_grant(l, g, request->wanted, now_us);
     }
     return answer;
 }
@@ -298,17 +302,18 @@
 /* ---- time ---- */
 
 static void
-expire_holders(limit_t *l, gint64 now_us)
+expire_grantees(limit_t *l, gint64 now_us)
 {
     GHashTableIter iter;
     gpointer value;
     l->wanting = 0;
-    g_hash_table_iter_init(&iter, l->holders);
+    g_hash_table_iter_init(&iter, l->grantees);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        holder_t *h = value;
-        holder_expire(l, h, now_us);
-        l->wanting += now_us - h->wanted_us < WANTING_US;
-        if (h->lent == 0 && now_us - h->asked_us > HOLDER_KEPT_US) {
+        grantee_t *g = value;
+        grantee_expire(l, g, now_us);
+        l->wanting += now_us - g->wanted_us < WANTING_US;
+        if (g->outstanding == 0 &&
+            now_us - g->requested_us > GRANTEE_TIMEOUT_US) {
             g_hash_table_iter_remove(&iter);
         }
     }
@@ -322,9 +327,9 @@
     g_hash_table_iter_init(&iter, q->limits);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         limit_t *l = value;
-        expire_holders(l, now_us);
-        gint64 kept_us = l->owned ? LIMIT_KEPT_US : RELAYED_KEPT_US;
-        if (now_us - l->asked_us > kept_us) {
+        expire_grantees(l, now_us);
+        gint64 timeout_us = l->owned ? OWNED_TIMEOUT_US : RELAYED_TIMEOUT_US;
+        if (now_us - l->requested_us > timeout_us) {
             q->in_force -= l->state.limited;
             g_hash_table_iter_remove(&iter);
         }
@@ -340,11 +345,13 @@
 }
 
 static gint
-by_number(gconstpointer a, gconstpointer b)
+by_change_cursor(gconstpointer a, gconstpointer b)
 {
     const limit_t *x = *(const limit_t *const *)a;
     const limit_t *y = *(const limit_t *const *)b;
-    return x->number < y->number ? -1 : x->number > y->number;
+    return x->change_cursor < y->change_cursor
+               ? -1
+               : x->change_cursor > y->change_cursor;
 }
 
 static GPtrArray *
@@ -355,25 +362,26 @@
     gpointer value;
     g_hash_table_iter_init(&iter, q->limits);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        if (((limit_t *)value)->number > cursor) {
+        if (((limit_t *)value)->change_cursor > cursor) {
             g_ptr_array_add(changed, value);
         }
     }
-    g_ptr_array_sort(changed, by_number);
+    g_ptr_array_sort(changed, by_change_cursor);
     return changed;
 }
 
 GArray *
-limit_quota_since(const limit_quota_t *q, guint64 *cursor, guint most)
+limit_quota_changes_since(const limit_quota_t *q, guint64 *cursor,
+                          guint max_count)
 {
     GArray *states = g_array_new(FALSE, FALSE, sizeof(limit_state_t));
     GPtrArray *changed = changed_since(q, *cursor);
-    for (guint i = 0; i < changed->len && i < most; i++) {
+    for (guint i = 0; i < changed->len && i < max_count; i++) {
         const limit_t *l = changed->pdata[i];
         g_array_append_val(states, l->state);
-        *cursor = l->number;
+        *cursor = l->change_cursor;
     }
-    if (changed->len <= most) {
+    if (changed->len <= max_count) {
         *cursor = q->changes;
     }
     g_ptr_array_unref(changed);
@@ -401,9 +409,9 @@
             "%ld ms "
             "ago\n",
             l->state.endpoint, l->owned ? "" : "relayed, ",
-            l->state.limited ? "in force," : "lifted,", l->state.rate, l->lent,
-            l->credit, g_hash_table_size(l->holders), l->wanting,
-            (long)((now_us - l->asked_us) / MS));
+            l->state.limited ? "in force," : "lifted,", l->state.rate,
+            l->outstanding, l->credit, g_hash_table_size(l->grantees),
+            l->wanting, (long)((now_us - l->requested_us) / MS));
     }
 }
 
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -6,15 +6,15 @@
 
 static const double DECAY_S = 2;
 /* Over less than this the counts say little. */
-static const double SPAN_LEAST_S = 0.5;
+static const double SPAN_MIN_S = 0.5;
 /* Grants after which sends that urgent requests took have surely been granted
  * anew. */
 static const double GRANTS_AHEAD = 3;
 /* The last send is kept where more urgent requests than this are expected to
  * want it. */
-static const double EXPECTED_LEAST = 0.15;
+static const double EXPECTED_MIN = 0.15;
 /* Of more urgent requests, one in the life of a grant. */
-static const double OFTEN_A_SECOND = 1000.0 / LIMIT_GRANT_MS;
+static const double FREQUENT_RATE = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
 
 static void
 decay(limit_share_t *s, gint64 now_us)
@@ -22,19 +22,19 @@
     if (s->at_us == 0) {
         s->at_us = now_us;
     }
-    double since_s = (double)(now_us - s->at_us) / G_USEC_PER_SEC;
-    double left = exp(-since_s / DECAY_S);
+    double elapsed_s = (double)(now_us - s->at_us) / G_USEC_PER_SEC;
+    double decay_factor = exp(-elapsed_s / DECAY_S);
     s->at_us = now_us;
-    s->span_s = s->span_s * left + DECAY_S * (1 - left);
-    s->grants *= left;
-    s->granted *= left;
+    s->span_s = s->span_s * decay_factor + DECAY_S * (1 - decay_factor);
+    s->grants *= decay_factor;
+    s->granted *= decay_factor;
     for (guint i = 0; i < LIMIT_RANKS; i++) {
-        s->wanted[i] *= left;
+        s->wanted[i] *= decay_factor;
     }
 }
 
 void
-limit_share_note_granted(limit_share_t *s, guint count, gint64 now_us)
+limit_share_record_granted(limit_share_t *s, guint count, gint64 now_us)
 {
     if (count == 0) {
         return;
@@ -45,14 +45,14 @@
 }
 
 void
-limit_share_note_wanted(limit_share_t *s, guint rank, gint64 now_us)
+limit_share_record_wanted(limit_share_t *s, guint rank, gint64 now_us)
 {
     decay(s, now_us);
     s->wanted[MIN(rank, LIMIT_RANKS - 1)]++;
 }
 
 static double
-wanted_before(const limit_share_t *s, guint rank)
+wanted_by_more_urgent(const limit_share_t *s, guint rank)
 {
     double wanted = 0;
     for (guint i = 0; i < MIN(rank, LIMIT_RANKS - 1); i++) {
@@ -69,16 +69,16 @@
         return FALSE;
     }
     decay(s, now_us);
-    double span_s = MAX(s->span_s, SPAN_LEAST_S);
-    double wanted = wanted_before(s, rank);
-    double wanted_a_second = wanted / span_s;
-    if (wanted >= s->granted && wanted_a_second >= OFTEN_A_SECOND) {
+    double span_s = MAX(s->span_s, SPAN_MIN_S);
+    double wanted = wanted_by_more_urgent(s, rank);
+    double wanted_rate = wanted / span_s;
+    if (wanted >= s->granted && wanted_rate >= FREQUENT_RATE) {
         return TRUE; /* they would use all */
     }
     double left_s = (double)tokens->left_us / G_USEC_PER_SEC;
     if (s->grants > 0) {
         left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grants);
     }
-    double expected = wanted_a_second * left_s;
-    return tokens->count < 1 - EXPECTED_LEAST + expected;
+    double expected = wanted_rate * left_s;
+    return tokens->count < 1 - EXPECTED_MIN + expected;
 }
--- a/policy/repeat_budget.c
+++ b/policy/repeat_budget.c
@@ -3,7 +3,7 @@
 /* Of what an instance may spend by its own count it spends this part: an
  * instance added or one that is slow to hear of others must not break the
  * sum. */
-static const double PRUDENCE = 0.7;
+static const double SAFETY_FRACTION = 0.7;
 
 /* The part of the window that the slots cover; the oldest is cleared as a new
  * one begins. */
@@ -31,8 +31,8 @@
 }
 
 void
-repeat_budget_note_first(repeat_budget_t *b, const repeat_limits_t *limits,
-                         gint64 now_us)
+repeat_budget_record_first(repeat_budget_t *b, const repeat_limits_t *limits,
+                           gint64 now_us)
 {
     advance(b, limits, now_us);
     b->firsts[b->slot % REPEAT_BUDGET_SLOTS]++;
@@ -45,7 +45,7 @@
     advance(b, limits, now_us);
     double allowed =
         limits->ratio * sum(b->firsts) + limits->slack / MAX(instances, 1);
-    if (sum(b->repeats) + 1 > allowed * PRUDENCE) {
+    if (sum(b->repeats) + 1 > allowed * SAFETY_FRACTION) {
         return FALSE;
     }
     b->repeats[b->slot % REPEAT_BUDGET_SLOTS]++;
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -174,7 +174,7 @@
     guint tellings = 0;
     guint told = 0;
     for (guint i = 1; i <= entries; i++) {
-        guint now = collector_entries_told(i);
+        guint now = collector_entries_rounded(i);
         CU_ASSERT(now <= i && now >= i - i / 16);
         tellings += now != told;
         told = now;
@@ -276,7 +276,7 @@
     enum { MESSAGE_BYTES = 80, ASK_BYTES = 56, ASKS = 4 };
     limit_report_t report = {
         .from = "front-data-centre-1",
-        .asks = g_array_new(FALSE, TRUE, sizeof(limit_ask_t))};
+        .asks = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
     directory_t *d = directory_of(SMALL);
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
@@ -286,17 +286,17 @@
         limit_change_t change;
         const endpoint_t *e =
             directory_take_limit(d, &state, &change, 1 * SECOND);
-        CU_ASSERT_FATAL(e != NULL && change == LIMIT_FIRST);
+        CU_ASSERT_FATAL(e != NULL && change == LIMIT_BEGUN);
         if (i < ASKS) {
-            endpoint_limit_deny(e->limit, 2 * SECOND);
+            endpoint_limit_record_denied(e->limit, 2 * SECOND);
         }
     }
     for (guint i = 0; i < directory_limits(d)->len; i++) {
         endpoint_t *e = directory_limits(d)->pdata[i];
-        if (endpoint_limit_has_wants(e->limit, 2 * SECOND) ||
-            endpoint_limit_has_news(e->limit)) {
-            limit_ask_t ask = {.endpoint = e->hash};
-            endpoint_limit_ask(e->limit, &ask, 2 * SECOND);
+        if (endpoint_limit_needs_grants(e->limit, 2 * SECOND) ||
+            endpoint_limit_has_update(e->limit)) {
+            limit_request_t ask = {.endpoint = e->hash};
+            endpoint_limit_fill_request(e->limit, &ask, 2 * SECOND);
             g_array_append_val(report.asks, ask);
         }
     }
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -232,7 +232,7 @@
             endpoint_end_add(&end, run);
         }
     }
-    crash_ledger_note_end(l, &end, now_us);
+    crash_ledger_record_end(l, &end, now_us);
     endpoint_end_clear(&end);
 }
 
@@ -248,7 +248,7 @@
 {
     guint64 cursor = 0;
     GArray *letters = g_array_new(TRUE, FALSE, 1);
-    GArray *orders = crash_ledger_since(l, &cursor, G_MAXUINT, now_us);
+    GArray *orders = crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
     for (guint i = 0; i < orders->len; i++) {
         const quarantine_order_t *o =
             &g_array_index(orders, quarantine_order_t, i);
@@ -258,7 +258,7 @@
         }
     }
     CU_ASSERT_EQUAL(cursor, crash_ledger_cursor(l));
-    CU_ASSERT_EQUAL(letters->len, crash_ledger_held(l));
+    CU_ASSERT_EQUAL(letters->len, crash_ledger_quarantined(l));
     g_array_sort(letters, by_letter);
     g_array_unref(orders);
     return g_array_free(letters, FALSE);
@@ -274,11 +274,11 @@
             note_end(l, s->endpoint, s->what, now_us);
         }
         if (s->kind == STEP_ANSWERED) {
-            crash_ledger_note_answered(l, letter_fingerprint(s->what[0]),
-                                       now_us);
+            crash_ledger_record_answered(l, letter_fingerprint(s->what[0]),
+                                         now_us);
         }
         now_us += s->ms * MS;
-        crash_ledger_judge(l, now_us);
+        crash_ledger_evaluate(l, now_us);
     }
     char *held = held_letters(l, now_us);
     if (strcmp(held, c->held) != 0) {
@@ -318,17 +318,17 @@
         if (i % 500 < 4) {
             endpoint_end_add(&end, (cut_run_t){cause, RUN_BEGINNING});
         }
-        crash_ledger_note_end(l, &end, now_us);
+        crash_ledger_record_end(l, &end, now_us);
         endpoint_end_clear(&end);
         now_us += 100 * MS;
-        crash_ledger_judge(l, now_us);
+        crash_ledger_evaluate(l, now_us);
         CU_ASSERT(crash_ledger_suspects(l) < MOST);
     }
-    CU_ASSERT_EQUAL(crash_ledger_held(l), 1);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), 1);
     now_us += 2 * MEMORY_US;
-    crash_ledger_judge(l, now_us);
-    crash_ledger_judge(l, now_us + 2 * MEMORY_US);
-    CU_ASSERT_EQUAL(crash_ledger_held(l), 0);
+    crash_ledger_evaluate(l, now_us);
+    crash_ledger_evaluate(l, now_us + 2 * MEMORY_US);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), 0);
     CU_ASSERT_EQUAL(crash_ledger_suspects(l), 0);
     CU_ASSERT_EQUAL(crash_ledger_ends(l), 0);
     crash_ledger_destroy(l);
@@ -348,28 +348,28 @@
             g_snprintf(name, sizeof(name), "e%u.%u", i, j);
             endpoint_end_init(&end, name, 0);
             endpoint_end_add(&end, (cut_run_t){i + 1, RUN_BEGINNING});
-            crash_ledger_note_end(l, &end, now_us);
+            crash_ledger_record_end(l, &end, now_us);
             endpoint_end_clear(&end);
         }
         now_us += SECOND / 20;
-        crash_ledger_judge(l, now_us);
+        crash_ledger_evaluate(l, now_us);
     }
-    crash_ledger_judge(l, now_us + SECOND);
-    CU_ASSERT_EQUAL(crash_ledger_held(l), MOST);
+    crash_ledger_evaluate(l, now_us + SECOND);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), MOST);
     guint64 cursor = 0;
     quarantine_t *q = quarantine_create();
     for (guint i = 0; i < HELD && cursor != crash_ledger_cursor(l); i++) {
-        GArray *orders = crash_ledger_since(l, &cursor, PART, now_us);
+        GArray *orders = crash_ledger_orders_since(l, &cursor, PART, now_us);
         CU_ASSERT(orders->len <= PART);
         for (guint j = 0; j < orders->len; j++) {
-            quarantine_take(q, &g_array_index(orders, quarantine_order_t, j),
-                            "i", now_us);
+            quarantine_apply_order(
+                q, &g_array_index(orders, quarantine_order_t, j), "i", now_us);
         }
         g_array_unref(orders);
     }
     CU_ASSERT_EQUAL(cursor, crash_ledger_cursor(l));
     CU_ASSERT_EQUAL(quarantine_count(q), MOST);
-    quarantine_sweep(q, now_us + MEMORY_US + SECOND);
+    quarantine_expire(q, now_us + MEMORY_US + SECOND);
     CU_ASSERT(quarantine_is_empty(q));
     quarantine_destroy(q);
     crash_ledger_destroy(l);
@@ -388,23 +388,24 @@
         g_snprintf(name, sizeof(name), "%u", i);
         note_end(l, name, "ABX", now_us);
     }
-    crash_ledger_judge(l, now_us);
-    CU_ASSERT_EQUAL(crash_ledger_held(l), TIED);
+    crash_ledger_evaluate(l, now_us);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), TIED);
     for (guint i = 0; i <= TURNS; i++) {
         guint64 cursor = 0;
         guint on_trial = 0;
-        GArray *orders = crash_ledger_since(l, &cursor, G_MAXUINT, now_us);
+        GArray *orders =
+            crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
         for (guint j = 0; j < orders->len; j++) {
             const quarantine_order_t *o =
                 &g_array_index(orders, quarantine_order_t, j);
-            CU_ASSERT(o->doubted);
-            on_trial += o->trial != 0;
-            tried[o->fingerprint % 128] += o->trial != 0;
+            CU_ASSERT(o->uncertain);
+            on_trial += o->probe != 0;
+            tried[o->fingerprint % 128] += o->probe != 0;
         }
         CU_ASSERT_EQUAL(on_trial, i == 0 ? 0 : 1);
         g_array_unref(orders);
         now_us += TURN_MS * MS;
-        crash_ledger_judge(l, now_us);
+        crash_ledger_evaluate(l, now_us);
     }
     CU_ASSERT_EQUAL(tried['A'], TURNS / TIED);
     CU_ASSERT_EQUAL(tried['B'], TURNS / TIED);
@@ -424,12 +425,12 @@
                                .left_us = MEMORY_US / 2,
                                .since_us = SECOND,
                                .endpoints = (char *)"a,b",
-                               .doubted = TRUE};
+                               .uncertain = TRUE};
     crash_ledger_restore(l, &kept, now_us);
-    crash_ledger_judge(l, now_us);
-    GArray *orders = crash_ledger_since(l, &cursor, G_MAXUINT, now_us);
+    crash_ledger_evaluate(l, now_us);
+    GArray *orders = crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
     CU_ASSERT_EQUAL_FATAL(orders->len, 1);
-    CU_ASSERT(g_array_index(orders, quarantine_order_t, 0).trial != 0);
+    CU_ASSERT(g_array_index(orders, quarantine_order_t, 0).probe != 0);
     g_array_unref(orders);
     crash_ledger_destroy(l);
 }
@@ -450,14 +451,14 @@
         g_snprintf(name, sizeof(name), "%u", i);
         note_end(l, name, "AX", now_us);
     }
-    crash_ledger_judge(l, now_us);
+    crash_ledger_evaluate(l, now_us);
     now_us += LATE_MS * MS;
     note_end(l, "5", "A", now_us);
     note_end(l, "6", "A", now_us);
-    crash_ledger_judge(l, now_us);
-    GArray *orders = crash_ledger_since(l, &cursor, G_MAXUINT, now_us);
+    crash_ledger_evaluate(l, now_us);
+    GArray *orders = crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
     for (guint i = 0; i < orders->len; i++) {
-        doubted += g_array_index(orders, quarantine_order_t, i).doubted;
+        doubted += g_array_index(orders, quarantine_order_t, i).uncertain;
     }
     CU_ASSERT_EQUAL(doubted, TIED);
     g_array_unref(orders);
@@ -474,13 +475,13 @@
 static void
 site_take_orders(site_t *site, gint64 now_us)
 {
-    GArray *orders =
-        crash_ledger_since(site->ledger, &site->cursor, G_MAXUINT, now_us);
+    GArray *orders = crash_ledger_orders_since(site->ledger, &site->cursor,
+                                               G_MAXUINT, now_us);
     for (guint i = 0; i < orders->len; i++) {
         quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
-        order->trial_at = g_strdup("i");
-        quarantine_take(site->quarantine, order, "i", now_us);
+        order->probe_instance = g_strdup("i");
+        quarantine_apply_order(site->quarantine, order, "i", now_us);
     }
     g_array_unref(orders);
 }
@@ -495,7 +496,7 @@
         return TRUE;
     }
     run->stage = RUN_TRIED;
-    return quarantine_take_trial(site->quarantine, run->fingerprint, now_us);
+    return quarantine_take_probe(site->quarantine, run->fingerprint, now_us);
 }
 
 enum { CALLERS = 12, CAUSE = 1000 };
@@ -520,7 +521,7 @@
             endpoint_end_add(&end, run);
         }
     }
-    crash_ledger_note_end(site->ledger, &end, now_us);
+    crash_ledger_record_end(site->ledger, &end, now_us);
     endpoint_end_clear(&end);
 }
 
@@ -580,18 +581,19 @@
             cut_run_t run = {.fingerprint = j};
             if (g_rand_int_range(random, 0, 10) == 0 &&
                 may_send(&site, &run, now_us)) {
-                crash_ledger_note_answered(l, j, now_us);
+                crash_ledger_record_answered(l, j, now_us);
             }
         }
         now_us += c->step_ms * MS;
-        crash_ledger_judge(l, now_us);
+        crash_ledger_evaluate(l, now_us);
     }
-    if (caused.late > LATE_MOST || crash_ledger_held(l) != 1) {
+    if (caused.late > LATE_MOST || crash_ledger_quarantined(l) != 1) {
         printf("%s, seed %u: %u ends by the cause, %u late, %u held\n",
-               c->name, seed, caused.ends, caused.late, crash_ledger_held(l));
+               c->name, seed, caused.ends, caused.late,
+               crash_ledger_quarantined(l));
     }
     CU_ASSERT(caused.late <= LATE_MOST);
-    CU_ASSERT_EQUAL(crash_ledger_held(l), 1);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), 1);
     CU_ASSERT_PTR_NOT_NULL(quarantine_find(site.quarantine, CAUSE, now_us));
     quarantine_destroy(site.quarantine);
     crash_ledger_destroy(l);
@@ -620,14 +622,15 @@
     quarantine_order_t order = {
         .fingerprint = 7, .left_us = SECOND, .endpoints = (char *)"a,b"};
     CU_ASSERT(quarantine_is_empty(q));
-    CU_ASSERT(quarantine_take(q, &order, "i", SECOND));
-    CU_ASSERT_FALSE(quarantine_take(q, &order, "i", SECOND)); /* of another */
+    CU_ASSERT(quarantine_apply_order(q, &order, "i", SECOND));
+    CU_ASSERT_FALSE(
+        quarantine_apply_order(q, &order, "i", SECOND)); /* of another */
     CU_ASSERT_PTR_NULL(quarantine_find(q, 8, SECOND));
-    const held_request_t *held = quarantine_find(q, 7, SECOND);
+    const quarantined_request_t *held = quarantine_find(q, 7, SECOND);
     CU_ASSERT(held != NULL && strcmp(held->endpoints, "a,b") == 0);
     CU_ASSERT_PTR_NULL(quarantine_find(q, 7, 2 * SECOND));
     order.left_us = 0;
-    CU_ASSERT(quarantine_take(q, &order, "i", SECOND));
+    CU_ASSERT(quarantine_apply_order(q, &order, "i", SECOND));
     CU_ASSERT(quarantine_is_empty(q));
     quarantine_destroy(q);
 }
@@ -642,15 +645,15 @@
         quarantine_order_t order = {.fingerprint = 7,
                                     .left_us = 100 * (gint64)SECOND,
                                     .endpoints = (char *)"a",
-                                    .doubted = TRUE,
-                                    .trial = 1,
-                                    .trial_at = (char *)CHOSEN[i]};
-        quarantine_take(q, &order, "i", SECOND);
-        CU_ASSERT_EQUAL(quarantine_take_trial(q, 7, SECOND), i == 1);
-        CU_ASSERT_FALSE(quarantine_take_trial(q, 7, SECOND));
-        quarantine_take(q, &order, "i", SECOND); /* of another */
-        CU_ASSERT_FALSE(quarantine_take_trial(q, 7, 2 * SECOND));
-        CU_ASSERT_EQUAL(quarantine_take_trial(q, 7, 9 * (gint64)SECOND),
+                                    .uncertain = TRUE,
+                                    .probe = 1,
+                                    .probe_instance = (char *)CHOSEN[i]};
+        quarantine_apply_order(q, &order, "i", SECOND);
+        CU_ASSERT_EQUAL(quarantine_take_probe(q, 7, SECOND), i == 1);
+        CU_ASSERT_FALSE(quarantine_take_probe(q, 7, SECOND));
+        quarantine_apply_order(q, &order, "i", SECOND); /* of another */
+        CU_ASSERT_FALSE(quarantine_take_probe(q, 7, 2 * SECOND));
+        CU_ASSERT_EQUAL(quarantine_take_probe(q, 7, 9 * (gint64)SECOND),
                         i == 1);
         CU_ASSERT_PTR_NOT_NULL(quarantine_find(q, 7, 9 * (gint64)SECOND));
         quarantine_destroy(q);
@@ -662,13 +665,13 @@
 {
     run_history_t *h = g_new0(run_history_t, 1);
     CU_ASSERT_FALSE(run_history_is_answered(h, 7, SECOND));
-    run_history_note_answered(h, 7, SECOND);
+    run_history_record_answered(h, 7, SECOND);
     CU_ASSERT(run_history_is_answered(h, 7, 5 * SECOND));
     CU_ASSERT_FALSE(run_history_is_answered(h, 7, 30 * (gint64)SECOND));
-    run_history_note_answered(h, 7 + RUN_HISTORY_SLOTS, SECOND);
+    run_history_record_answered(h, 7 + RUN_HISTORY_SLOTS, SECOND);
     CU_ASSERT_FALSE(run_history_is_answered(h, 7, SECOND));
     CU_ASSERT_FALSE(run_history_take_cut(h, 9));
-    run_history_note_cut(h, 9, SECOND);
+    run_history_record_cut(h, 9, SECOND);
     CU_ASSERT(run_history_take_cut(h, 9));
     CU_ASSERT_FALSE(run_history_take_cut(h, 9));
     g_free(h);
@@ -756,7 +759,7 @@
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
     CU_ASSERT_EQUAL(order->left_us, left_us);
     crash_ledger_restore(l, order, SECOND);
-    CU_ASSERT_EQUAL(crash_ledger_held(l), left_us > 0);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), left_us > 0);
     crash_ledger_destroy(l);
 }
 
--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -550,7 +550,7 @@
     directory_join(d, e, 0, 0);
     lease = lease_of("e", 2, LEASE_LEFT);
     directory_update(d, 0, &lease, SECOND);
-    endpoint_limit_named(directory_limit(d, e), 2, SECOND, SECOND);
+    endpoint_limit_record_rate(directory_limit(d, e), 2, SECOND, SECOND);
     CU_ASSERT_EQUAL(directory_limits(d)->len, 0);
     directory_leave(d, e, 0);
     directory_sweep(d, SECOND);
--- a/tests/test_limit_quota.c
+++ b/tests/test_limit_quota.c
@@ -92,13 +92,13 @@
     limit_state_t state = {.limited = s->kind == SAY_TOLD, .rate = s->rate};
     switch (s->kind) {
     case SAY_NAMED:
-        return endpoint_limit_named(l, s->rate, (gint64)s->sent_ms * MS,
-                                    (gint64)s->at_ms * MS);
+        return endpoint_limit_record_rate(l, s->rate, (gint64)s->sent_ms * MS,
+                                          (gint64)s->at_ms * MS);
     case SAY_ABSENT:
-        return endpoint_limit_absent(l, (gint64)s->sent_ms * MS);
+        return endpoint_limit_record_unlimited(l, (gint64)s->sent_ms * MS);
     default:
-        l->news = FALSE; /* the owner was told */
-        return endpoint_limit_told(l, &state, (gint64)s->at_ms * MS);
+        l->update_due = FALSE; /* the owner was told */
+        return endpoint_limit_apply_state(l, &state, (gint64)s->at_ms * MS);
     }
 }
 
@@ -151,8 +151,8 @@
     gint64 arrives_us;  /* 0: none */
     gint64 answered_us; /* 0: not yet */
     gint64 lost;        /* its answer does not arrive */
-    limit_asker_t asker;
-    limit_ask_t ask;
+    limit_requester_t asker;
+    limit_request_t ask;
     limit_grant_t grant;
 } ask_t;
 
@@ -302,11 +302,11 @@
     if (!l->limited) {
         return TRUE;
     }
-    gboolean held = l->tokens > 0 && now < l->tokens_until_us;
+    gboolean held = l->tokens > 0 && now < l->tokens_expire_us;
     limit_tokens_t tokens = {.count = held ? l->tokens : 0,
-                             .left_us = l->tokens_until_us - now};
+                             .left_us = l->tokens_expire_us - now};
     gboolean yields = limit_share_yields(&e->share, rank, &tokens, now);
-    limit_share_note_wanted(&e->share, rank, now);
+    limit_share_record_wanted(&e->share, rank, now);
     return !yields && endpoint_limit_allows(l, now);
 }
 
@@ -328,10 +328,10 @@
     gboolean sent = entry_admits(s, e, rank);
     count_outcome(s, rank, sent);
     if (!sent) {
-        endpoint_limit_deny(&e->limit, clock_of(s, e));
+        endpoint_limit_record_denied(&e->limit, clock_of(s, e));
         return;
     }
-    endpoint_limit_spend(&e->limit, s->history->entries, clock_of(s, e));
+    endpoint_limit_record_send(&e->limit, s->history->entries, clock_of(s, e));
     count_send(s, e);
     for (guint i = 0; i < ANSWERS_MOST; i++) {
         reply_t *r = &e->replies[i];
@@ -359,10 +359,11 @@
         }
         r->due_us = 0;
         if (!r->limited) {
-            endpoint_limit_absent(&e->limit, r->sent_us);
+            endpoint_limit_record_unlimited(&e->limit, r->sent_us);
             continue;
         }
-        endpoint_limit_named(&e->limit, r->rate, r->sent_us, clock_of(s, e));
+        endpoint_limit_record_rate(&e->limit, r->rate, r->sent_us,
+                                   clock_of(s, e));
         if (e->told_us == 0) {
             e->told_us = s->now_us;
         }
@@ -380,12 +381,12 @@
 entry_failed(sim_t *s, sim_entry_t *e)
 {
     e->waits_for = -1;
-    e->limit.news = TRUE;
+    e->limit.update_due = TRUE;
     e->failures++;
     e->next_ask_us = s->now_us + RETRY_US;
     if (e->failures >= FAILURES) {
-        endpoint_limit_alone(&e->limit, s->history->entries,
-                             g_rand_double(s->random), clock_of(s, e));
+        endpoint_limit_owner_lost(&e->limit, s->history->entries,
+                                  g_rand_double(s->random), clock_of(s, e));
     }
 }
 
@@ -394,9 +395,9 @@
 {
     endpoint_limit_expire(&e->limit, clock_of(s, e));
     gboolean wants = s->now_us >= e->wants_us &&
-                     endpoint_limit_has_wants(&e->limit, clock_of(s, e));
+                     endpoint_limit_needs_grants(&e->limit, clock_of(s, e));
     if (e->waits_for >= 0 || s->now_us < e->next_ask_us ||
-        (!endpoint_limit_has_news(&e->limit) && !wants)) {
+        (!endpoint_limit_has_update(&e->limit) && !wants)) {
         return;
     }
     for (int i = 0; i < WIRE_MOST; i++) {
@@ -408,12 +409,12 @@
         if (s->history->faults && chance(s, 0.03)) {
             a->arrives_us += between_ms(s, 100, 1500);
         }
-        a->asker = (limit_asker_t){.name = e->name,
-                                   .incarnation = e->incarnation,
-                                   .sequence = ++e->sequence};
+        a->asker = (limit_requester_t){.name = e->name,
+                                       .incarnation = e->incarnation,
+                                       .sequence = ++e->sequence};
         a->ask.endpoint = ENDPOINT;
         a->lost = s->history->faults && chance(s, 0.03);
-        endpoint_limit_ask(&e->limit, &a->ask, clock_of(s, e));
+        endpoint_limit_fill_request(&e->limit, &a->ask, clock_of(s, e));
         e->waits_for = i;
         e->asked_us = s->now_us;
         s->asks++;
@@ -438,8 +439,8 @@
             if (!owner_answers(s, e)) {
                 continue; /* it waits until the owner, or the way, is back */
             }
-            a->grant = limit_quota_ask(s->quota, &a->asker, &a->ask,
-                                       s->now_us + s->owner_offset_us);
+            a->grant = limit_quota_request(s->quota, &a->asker, &a->ask,
+                                           s->now_us + s->owner_offset_us);
             a->answered_us = s->now_us + between_ms(s, 1, 20);
             continue;
         }
@@ -448,17 +449,18 @@
         }
         a->arrives_us = 0;
         if (i == e->waits_for && !a->lost) {
-            endpoint_limit_granted(
+            endpoint_limit_apply_grant(
                 &e->limit, &a->grant,
                 e->offset_us + (gint64)((double)e->asked_us * (1 + e->drift)),
                 clock_of(s, e));
-            limit_share_note_granted(&e->share, a->grant.granted,
-                                     clock_of(s, e));
+            limit_share_record_granted(&e->share, a->grant.granted,
+                                       clock_of(s, e));
             e->waits_for = -1;
             e->failures = 0;
             e->next_ask_us = e->asked_us + ASK_US + between_ms(s, 0, 30);
-            e->wants_us = e->asked_us +
-                          (gint64)collector_ask_ms(s->history->entries) * MS;
+            e->wants_us =
+                e->asked_us +
+                (gint64)collector_report_interval_ms(s->history->entries) * MS;
         }
     }
     if (e->waits_for >= 0 && s->now_us - e->asked_us > ANSWER_US) {
@@ -470,11 +472,11 @@
 tell_since(const sim_t *s, sim_entry_t *e, const limit_quota_t *quota,
            guint64 *cursor)
 {
-    GArray *states = limit_quota_since(quota, cursor, 16);
+    GArray *states = limit_quota_changes_since(quota, cursor, 16);
     for (guint i = 0; i < states->len; i++) {
-        endpoint_limit_told(&e->limit,
-                            &g_array_index(states, limit_state_t, i),
-                            clock_of(s, e));
+        endpoint_limit_apply_state(&e->limit,
+                                   &g_array_index(states, limit_state_t, i),
+                                   clock_of(s, e));
     }
     g_array_unref(states);
 }
@@ -495,12 +497,12 @@
 static void
 relay_report(sim_t *s, sim_entry_t *e)
 {
-    limit_ask_t report = {.endpoint = ENDPOINT};
+    limit_request_t report = {.endpoint = ENDPOINT};
     if (e->failures >= FAILURES && endpoint_limit_has_report(&e->limit) &&
         chance(s, 0.2)) {
-        endpoint_limit_report(&e->limit, &report, clock_of(s, e));
-        limit_quota_take_report(s->relay, &report,
-                                s->now_us + s->owner_offset_us);
+        endpoint_limit_fill_report(&e->limit, &report, clock_of(s, e));
+        limit_quota_apply_report(s->relay, &report,
+                                 s->now_us + s->owner_offset_us);
     }
 }
 
@@ -660,7 +662,7 @@
     double sent = (double)(s.all - before);
     double due = MIN(h->rate, h->demand) * WINDOW_US / SECOND;
     /* Each instance asks so often at most; what is granted is told besides. */
-    double each = 1000.0 / collector_ask_ms(h->entries);
+    double each = 1000.0 / collector_report_interval_ms(h->entries);
     double asks_most =
         (h->entries * each + 2 * h->rate) * h->length_ms / 1000 + h->entries;
     gboolean cheap = h->faults || (double)s.asks <= asks_most;
@@ -814,11 +816,11 @@
     for (guint step = 0; step < STEPS; step++) {
         gint64 at_us = from_us + step * SECOND / STEPS;
         if (c->granted > 0 && step % (STEPS / c->granted) == 0) {
-            limit_share_note_granted(share, 1, at_us);
+            limit_share_record_granted(share, 1, at_us);
         }
         for (guint rank = 0; rank < LIMIT_RANKS; rank++) {
             if (c->wanted[rank] > 0 && step % (STEPS / c->wanted[rank]) == 0) {
-                limit_share_note_wanted(share, rank, at_us);
+                limit_share_record_wanted(share, rank, at_us);
             }
         }
     }
@@ -964,19 +966,19 @@
 {
     instance_count_t count = {0};
     CU_ASSERT_EQUAL(instance_count_get(&count), 1);
-    instance_count_note(&count, 8, 1 * SECOND);
-    instance_count_note(&count, 1, 2 * SECOND);
+    instance_count_record(&count, 8, 1 * SECOND);
+    instance_count_record(&count, 1, 2 * SECOND);
     CU_ASSERT_EQUAL(instance_count_get(&count), 8);
-    instance_count_note(&count, 12, 3 * SECOND);
+    instance_count_record(&count, 12, 3 * SECOND);
     CU_ASSERT_EQUAL(instance_count_get(&count), 12);
     CU_ASSERT_EQUAL(instance_count_share(&count, 370, 4), 30);
     CU_ASSERT_EQUAL(instance_count_share(&count, 12, 4), 4);
     for (gint64 at = 4; at < 32; at++) {
-        instance_count_note(&count, 3, at * SECOND);
+        instance_count_record(&count, 3, at * SECOND);
         CU_ASSERT_EQUAL(instance_count_get(&count), 12);
     }
     for (gint64 at = 32; at < 100; at++) {
-        instance_count_note(&count, 3, at * SECOND);
+        instance_count_record(&count, 3, at * SECOND);
     }
     CU_ASSERT_EQUAL(instance_count_get(&count), 3);
 }
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -245,8 +245,8 @@
 {
     for (guint i = 0; i < COLLECTORS; i++) {
         collectors[i] = (collector_t){.hash = hash_of("control", i),
-                                      .near = i < near,
-                                      .answers = !(silent & 1u << i)};
+                                      .local = i < near,
+                                      .reachable = !(silent & 1u << i)};
     }
 }
 
@@ -439,7 +439,8 @@
         a->reporters[at]++;
     }
     for (guint n = 0; n < c->entries; n++) {
-        gint interval = (gint)collector_ask_ms(a->reporters[a->home[n]]);
+        gint interval =
+            (gint)collector_report_interval_ms(a->reporters[a->home[n]]);
         a->due[n] = g_rand_int_range(random, 0, interval);
     }
     g_rand_free(random);
@@ -460,7 +461,7 @@
 ages_report(ages_t *a, guint n, gint64 now_ms)
 {
     guint at = a->home[n];
-    a->due[n] = now_ms + collector_ask_ms(a->reporters[at]);
+    a->due[n] = now_ms + collector_report_interval_ms(a->reporters[at]);
     a->calls[at]++;
     a->known[n] = now_ms - TRIP_MS;
     for (guint o = 0; now_ms > PLAYED_MS / 2 && o < a->c->entries; o++) {
--- a/tests/test_parsers.c
+++ b/tests/test_parsers.c
@@ -215,7 +215,8 @@
 static void
 test_limit_messages(void)
 {
-    limit_ask_t ask = {.endpoint = 7, .limited = TRUE, .rate = 2.5, .held = 3};
+    limit_request_t ask = {
+        .endpoint = 7, .limited = TRUE, .rate = 2.5, .outstanding = 3};
     limit_grant_t grant = {.state = {7, TRUE, 2.5}, .granted = 4};
     limit_report_t report = {.from = (char *)"entry-1", .sequence = 9};
     limit_answer_t answer = {.ask_ms = 100};
@@ -227,7 +228,8 @@
     GBytes *written = limit_report_write(&report);
     CU_ASSERT_FATAL(limit_report_read(written, &read));
     CU_ASSERT_EQUAL(read.sequence, 9);
-    CU_ASSERT_EQUAL(g_array_index(read.asks, limit_ask_t, 0).held, 3);
+    CU_ASSERT_EQUAL(g_array_index(read.asks, limit_request_t, 0).outstanding,
+                    3);
     limit_report_clear(&read);
     mutate(written, read_limits, 41);
     g_bytes_unref(written);
@@ -236,7 +238,7 @@
     g_bytes_unref(written);
     static const double RATES[] = {-1, NAN, INFINITY, 1e300};
     for (gsize i = 0; i < G_N_ELEMENTS(RATES); i++) {
-        g_array_index(report.asks, limit_ask_t, 0).rate = RATES[i];
+        g_array_index(report.asks, limit_request_t, 0).rate = RATES[i];
         written = limit_report_write(&report);
         CU_ASSERT_FALSE(limit_report_read(written, &read));
         g_bytes_unref(written);
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -697,7 +697,7 @@
     place_case_t c = {.tokens = 12000, .shared = 7, .shared_tokens = 5000};
     endpoint_t *home = place_of(d, c).endpoint;
     endpoint_limit_t *limit = directory_limit(d, home);
-    endpoint_limit_named(limit, 2, SECOND, SECOND);
+    endpoint_limit_record_rate(limit, 2, SECOND, SECOND);
     for (c.draw = 0; c.draw < DRAWS; c.draw++) {
         placement_t other = place_of(d, c);
         CU_ASSERT_PTR_NOT_EQUAL(other.endpoint, home);
@@ -706,14 +706,14 @@
     }
     limit_grant_t grant = {.state = {.limited = TRUE, .rate = 2},
                            .granted = 1};
-    endpoint_limit_granted(limit, &grant, 2 * SECOND, 2 * SECOND);
+    endpoint_limit_apply_grant(limit, &grant, 2 * SECOND, 2 * SECOND);
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     c.yields = TRUE;
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
     c.yields = FALSE;
-    endpoint_limit_spend(limit, 1, 2 * SECOND);
+    endpoint_limit_record_send(limit, 1, 2 * SECOND);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
-    endpoint_limit_absent(limit, 2 * SECOND);
+    endpoint_limit_record_unlimited(limit, 2 * SECOND);
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     directory_destroy(d);
 }
@@ -730,7 +730,8 @@
     }
     place_case_t c = {.tokens = 800};
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, all->pdata[0]);
-    endpoint_limit_named(directory_limit(d, all->pdata[0]), 2, SECOND, SECOND);
+    endpoint_limit_record_rate(directory_limit(d, all->pdata[0]), 2, SECOND,
+                               SECOND);
     placement_t none = place_of(d, c);
     CU_ASSERT_PTR_NULL(none.endpoint);
     CU_ASSERT_PTR_EQUAL(none.denied, all->pdata[0]);
@@ -745,8 +746,8 @@
     directory_t *d = engines_create();
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
-        endpoint_limit_named(directory_limit(d, all->pdata[i]), 2, SECOND,
-                             SECOND);
+        endpoint_limit_record_rate(directory_limit(d, all->pdata[i]), 2,
+                                   SECOND, SECOND);
     }
     place_case_t c = {.tokens = 800};
     placement_t none = place_of(d, c);
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -264,7 +264,7 @@
 {
     gint64 now_us = (gint64)(now_ms * 1000) + 1;
     if (placed->denied != NULL) {
-        endpoint_limit_deny(placed->denied->limit, now_us);
+        endpoint_limit_record_denied(placed->denied->limit, now_us);
     }
     if (placed->endpoint == NULL ||
         engine_of(placed->endpoint) >= p->load->limited) {
@@ -272,7 +272,8 @@
     }
     g_array_append_val(p->limited_ms[engine_of(placed->endpoint)], now_ms);
     if (placed->endpoint->limit != NULL) {
-        endpoint_limit_spend(placed->endpoint->limit, p->instances, now_us);
+        endpoint_limit_record_send(placed->endpoint->limit, p->instances,
+                                   now_us);
     }
 }
 
@@ -286,12 +287,13 @@
     const GPtrArray *limits = directory_limits(p->seen[n]);
     for (guint i = 0; i < limits->len; i++) {
         endpoint_t *e = limits->pdata[i];
-        limit_ask_t ask = {.endpoint = e->hash};
-        limit_asker_t asker = {.name = name, .sequence = ++p->asks};
+        limit_request_t ask = {.endpoint = e->hash};
+        limit_requester_t asker = {.name = name, .sequence = ++p->asks};
         endpoint_limit_expire(e->limit, now_us);
-        endpoint_limit_ask(e->limit, &ask, now_us);
-        limit_grant_t grant = limit_quota_ask(p->quota, &asker, &ask, now_us);
-        endpoint_limit_granted(e->limit, &grant, now_us, now_us);
+        endpoint_limit_fill_request(e->limit, &ask, now_us);
+        limit_grant_t grant =
+            limit_quota_request(p->quota, &asker, &ask, now_us);
+        endpoint_limit_apply_grant(e->limit, &grant, now_us, now_us);
     }
 }
 
@@ -304,8 +306,8 @@
         for (guint i = 0; i < all->len; i++) {
             endpoint_t *e = all->pdata[i];
             if (engine_of(e) < p->load->limited) {
-                endpoint_limit_named(directory_limit(p->seen[n], e),
-                                     p->load->limit, 1, 1);
+                endpoint_limit_record_rate(directory_limit(p->seen[n], e),
+                                           p->load->limit, 1, 1);
             }
         }
     }
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -493,7 +493,7 @@
     {"server-limit: 12\r\n", LIMIT_FIELD_NAMED, 12},
     {"Server-Limit:   0.4  \r\n", LIMIT_FIELD_NAMED, 0.4},
     {"Server-Limit: 0\r\n", LIMIT_FIELD_NAMED, 0},
-    {"Server-Limit: 999999999999\r\n", LIMIT_FIELD_NAMED, LIMIT_RATE_MOST},
+    {"Server-Limit: 999999999999\r\n", LIMIT_FIELD_NAMED, LIMIT_RATE_MAX},
     {"Server-Limit:\r\n", LIMIT_FIELD_MALFORMED, 0},
     {"Server-Limit: -1\r\n", LIMIT_FIELD_MALFORMED, 0},
     {"Server-Limit: +1\r\n", LIMIT_FIELD_MALFORMED, 0},
@@ -553,7 +553,7 @@
         for (int i = 0; i < busy; i++) {
             gint64 now = (gint64)t * STEP;
             if (g_rand_int_range(random, 0, 3) == 0) {
-                repeat_budget_note_first(&budgets[i], &LIMITS, now);
+                repeat_budget_record_first(&budgets[i], &LIMITS, now);
                 firsts[t]++;
             }
             repeats[t] +=
@@ -758,8 +758,8 @@
     instance_count_t counts[INSTANCES] = {0};
     guint taken = 0;
     for (guint i = 0; i < INSTANCES; i++) {
-        instance_count_note(&counts[i], INSTANCES, 1 * SECOND);
-        instance_count_note(&counts[i], 1, 2 * SECOND);
+        instance_count_record(&counts[i], INSTANCES, 1 * SECOND);
+        instance_count_record(&counts[i], 1, 2 * SECOND);
         for (guint k = 0; k < 100; k++) {
             taken +=
                 repeat_budget_take(&budgets[i], &LIMITS,
