--- a/include/carobloom/policy/endpoint_limit.h
+++ b/include/carobloom/policy/endpoint_limit.h
@@ -1,40 +1,41 @@
-/* The rate limit that an endpoint in need names, as one entry instance keeps
- * it.
+/* The rate limit of an endpoint, as one entry instance tracks it.
  *
- * The limit holds for all entry instances together, so an instance that knows
- * of it sends nothing there but what the limit's owner, a control instance,
- * granted it before (limit_quota.h). Only an answer without a limit lifts it:
- * one to a request that was sent after the limit was last named. Pure. */
+ * An endpoint announces its limit in a response. The limit applies to all
+ * entry instances together, so an instance that knows of a limit sends only
+ * requests that the limit's owner, a control instance, granted beforehand (see
+ * limit_quota.h). A limit is lifted only by a response without a limit, to a
+ * request that was sent after the limit was last announced. Pure. */
 #ifndef CAROBLOOM_POLICY_ENDPOINT_LIMIT_H
 #define CAROBLOOM_POLICY_ENDPOINT_LIMIT_H
 
 #include <glib.h>
 
 enum {
-    /* For which granted sends may be used, from when they were asked for. */
+    /* How long granted sends may be used, counted from the grant request. */
     LIMIT_GRANT_LIFETIME_MS = 1000,
-    /* Requests a second: more is no limit to any endpoint. */
+    /* Requests per second. Higher values limit no endpoint in practice. */
     LIMIT_RATE_MAX = 1000000,
 };
 
-/* No answer that came to the instance itself says so. */
+/* The age is unknown because this instance received no such response. */
 #define LIMIT_AGE_UNKNOWN G_MAXUINT32
 
-/* Requests a second that an endpoint is tried with however low its limit:
- * fewer would leave a lifted limit unnoticed for seconds. */
+/* Requests per second that are sent to an endpoint however low its limit is.
+ * At a lower rate a lifted limit would go unnoticed for seconds. */
 extern const double LIMIT_SEND_RATE_MIN;
 
-/* What an entry instance tells the owner of an endpoint's limit. */
+/* State and demand that an entry instance sends to the limit's owner. */
 typedef struct {
-    guint64 endpoint;       /* hash of its id and start */
-    gboolean limited;       /* FALSE: it was lifted */
-    double rate;            /* requests a second, of all instances */
-    guint32 request_age_ms; /* since the request was sent that told so, or
-                            LIMIT_AGE_UNKNOWN */
-    guint32 rate_age_ms;    /* since an answer named it last; the same */
+    guint64 endpoint;       /* hash of its id and incarnation */
+    gboolean limited;       /* FALSE: the limit was lifted */
+    double rate;            /* requests per second, of all instances */
+    guint32 request_age_ms; /* since the request was sent whose response set
+                               or lifted the rate, or LIMIT_AGE_UNKNOWN */
+    guint32 rate_age_ms;    /* since a response last carried a rate, or
+                               LIMIT_AGE_UNKNOWN */
     guint32 wanted;         /* sends */
-    guint32 outstanding;    /* granted sends not used yet */
-    guint64 used;           /* of all that were granted since the start */
+    guint32 outstanding;    /* granted sends that are not used yet */
+    guint64 used;           /* granted sends used in this incarnation */
 } limit_request_t;
 
 /* A limit as its owner knows it. */
@@ -44,7 +45,7 @@
     double rate;
 } limit_state_t;
 
-/* What the owner answers. */
+/* The owner's reply to a limit_request_t. */
 typedef struct {
     limit_state_t state;
     guint32 granted; /* sends */
@@ -53,82 +54,86 @@
 typedef enum {
     LIMIT_UNCHANGED,
     LIMIT_BEGUN,   /* the endpoint is limited from now on */
-    LIMIT_CHANGED, /* to another rate */
+    LIMIT_CHANGED, /* the rate changed */
     LIMIT_LIFTED,
 } limit_change_t;
 
-/* All of it is zero for an endpoint that never named a limit. Times are of
- * this instance's clock, in us. */
+/* All zero for an endpoint that never announced a limit. Times are in us, by
+ * the clock of this instance. */
 typedef struct {
     gboolean limited;
     double rate;
-    gint64
-        request_sent_us; /* of the request that told the rate here; 0: none */
-    gint64
-        rate_received_us; /* when an answer here named it last; 0: none did */
-    gint64 owner_rate_us; /* when the owner told the rate; 0: an answer did */
-    gint64 lifted_us; /* no request sent before tells of a limit any more */
-    gboolean lifted_by_response; /* by an answer to this instance */
-    gboolean disputed;           /* the owner does not take it as lifted */
-    gboolean update_due;         /* the owner is to be told */
-    gboolean
-        relay_report_due; /* the same of the relay, while the owner is lost */
-    gint64 relay_reported_us; /* to the relay, last */
-    guint tokens;             /* granted sends */
+    /* When the request was sent whose response set the rate; 0: none. */
+    gint64 request_sent_us;
+    /* When this instance last received a response with a rate; 0: never. */
+    gint64 rate_received_us;
+    /* When the owner set the rate; 0: a response set it. */
+    gint64 owner_rate_us;
+    /* Responses to requests sent up to this time don't set a limit. */
+    gint64 lifted_us;
+    gboolean lifted_by_response; /* received by this instance */
+    gboolean disputed;           /* the owner still regards it as in force */
+    gboolean update_due;         /* to the owner */
+    gboolean relay_report_due;   /* to the relay, while the owner is lost */
+    gint64 relay_reported_us;    /* time of the last report to the relay */
+    guint tokens;                /* granted sends that are not used yet */
     gint64 tokens_expire_us;
-    guint wanted;            /* sends, granted or not, since the last ask */
-    gint64 denied_us;        /* when one was last kept away; 0: none was */
-    gboolean tokens_dropped; /* granted sends, which the owner is to know */
+    guint wanted;     /* sends, granted or not, since the last request */
+    gint64 denied_us; /* when a send was last denied; 0: never */
+    gboolean tokens_dropped; /* the owner doesn't know yet */
     guint64 used;            /* granted sends */
-    guint64 used_reported;
-    /* Without word from the owner: when the next send is; 0: it answers. */
+    guint64 used_reported;   /* `used` as of the last grant request */
+    /* Time of the next send while the owner doesn't reply; 0: it replies. */
     gint64 ownerless_send_us;
-    /* for people */
+    /* For logs and diagnostic pages. */
     guint64 sends;
     guint64 denied;
-    gint64 logged_us; /* that its grant is spent */
+    gint64 logged_us; /* when a spent grant was last logged */
     gboolean logged_begun;
 } endpoint_limit_t;
 
-/* An answer named a rate. `sent_us` is of its request. */
+/* Records a response that carried a rate. `sent_us` is the time at which its
+ * request was sent. */
 limit_change_t endpoint_limit_record_rate(endpoint_limit_t *limit, double rate,
                                           gint64 sent_us, gint64 now_us);
-/* An answer named none. */
+/* Records a response without a rate. */
 limit_change_t endpoint_limit_record_unlimited(endpoint_limit_t *limit,
                                                gint64 sent_us);
-/* The owner says how it stands. */
+/* Applies the state that the owner sent. */
 limit_change_t endpoint_limit_apply_state(endpoint_limit_t *limit,
                                           const limit_state_t *state,
                                           gint64 now_us);
-/* Whether one more request may be sent now. */
+/* Returns whether one more request may be sent now. */
 gboolean endpoint_limit_allows(const endpoint_limit_t *limit, gint64 now_us);
-/* One is sent; `instances` share the limit. */
+/* Records a sent request; `instances` share the limit. */
 void endpoint_limit_record_send(endpoint_limit_t *limit, guint instances,
                                 gint64 now_us);
-/* One would have been sent. */
+/* Records a request that the limit kept from being sent. */
 void endpoint_limit_record_denied(endpoint_limit_t *limit, gint64 now_us);
-/* Returns grants that are over. */
+/* Drops expired grants; the owner gets them back with the next request. */
 void endpoint_limit_expire(endpoint_limit_t *limit, gint64 now_us);
-/* Whether the owner is to be told something. */
+/* Returns whether an update to the owner is due. */
 gboolean endpoint_limit_has_update(const endpoint_limit_t *limit);
-/* Whether it is to be asked for sends. */
+/* Returns whether grants should be requested from the owner. */
 gboolean endpoint_limit_needs_grants(const endpoint_limit_t *limit,
                                      gint64 now_us);
-/* Fills in all but the endpoint, and starts to count anew. */
-void endpoint_limit_fill_request(endpoint_limit_t *limit, limit_request_t *ask,
-                                 gint64 now_us);
-/* Whether the relay, which tells all while the owner is lost, is to be told
- * something. */
+/* Fills in the request for the owner, except for `endpoint`, and resets the
+ * counts that the request carries. */
+void endpoint_limit_fill_request(endpoint_limit_t *limit,
+                                 limit_request_t *request, gint64 now_us);
+/* Returns whether a report to the relay is due. The relay publishes reports to
+ * all instances while the owner is lost. */
 gboolean endpoint_limit_has_report(const endpoint_limit_t *limit);
-/* Fills in what answers said, and asks for nothing. */
-void endpoint_limit_fill_report(endpoint_limit_t *limit, limit_request_t *ask,
-                                gint64 now_us);
-/* The ask, made at `asked_us`, was answered. */
+/* Fills in the state from responses, and requests no grants. */
+void endpoint_limit_fill_report(endpoint_limit_t *limit,
+                                limit_request_t *request, gint64 now_us);
+/* Applies the owner's reply to the request that was sent at `requested_us`. */
 limit_change_t endpoint_limit_apply_grant(endpoint_limit_t *limit,
                                           const limit_grant_t *grant,
-                                          gint64 asked_us, gint64 now_us);
-/* No owner answers; `draw` is random, 0 to 1. The first send without one is at
- * a random moment of the time that each of `instances` waits between two. */
+                                          gint64 requested_us, gint64 now_us);
+/* Schedules sends without grants because no owner replies. `draw` is random,
+ * 0 to 1: it places the first send at a random moment of the interval that
+ * each of `instances` leaves between two sends. */
 void endpoint_limit_owner_lost(endpoint_limit_t *limit, guint instances,
                                double draw, gint64 now_us);
 
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -2,25 +2,27 @@
 
 enum {
     MS = 1000,
-    /* For which an instance's own news goes before what the owner says, which
-     * may not have heard it yet. */
+    /* How long an instance trusts its own responses over the owner's state,
+     * which may not include its update yet. */
     OWNER_LAG_US = 500 * MS,
     WANTED_MAX = 1000,
-    /* Between two reports to the relay, where answers still name the limit:
-     * well within the time that it keeps one. */
+    /* Interval of reports to the relay while responses still carry the limit;
+     * well below the time after which the relay discards a limit. */
     RELAY_REPORT_US = 2000 * MS,
-    /* For which a request that was kept away is a reason to ask: its caller,
-     * or the next one, comes in that time. */
+    /* How long a denied send is a reason to request grants: its caller
+     * retries, or the next caller arrives, within that time. */
     DENIED_US = 1000 * MS,
 };
 
 const double LIMIT_SEND_RATE_MIN = 0.6;
 
-/* Of the limit, for all instances that no owner answers: together with what
- * an owner may grant to the others, it stays below the limit's bound. */
+/* Share of the limit for all instances together that no owner replies to.
+ * Added to what an owner may grant to the other instances, it stays below the
+ * limit's bound. */
 static const double OWNERLESS_FRACTION = 0.15;
 
-/* A rate that is lower by less leaves granted sends as they are. */
+/* Granted sends are kept unless the rate falls below this fraction of the
+ * previous rate. */
 static const double TOKENS_KEPT_FRACTION = 0.9;
 
 static void
@@ -159,7 +161,7 @@
     return l->ownerless_send_us != 0 && now_us >= l->ownerless_send_us;
 }
 
-/* Between two sends of one instance that no owner answers. */
+/* Interval between two sends of one instance while no owner replies. */
 static gint64
 ownerless_interval_us(const endpoint_limit_t *l, guint instances)
 {
@@ -199,8 +201,9 @@
     }
 }
 
-/* Sends to be asked for. Where one was kept away, one at least, until it is
- * granted: who asks again keeps its turn. */
+/* Returns the number of sends to request. After a denied send it is at least
+ * one until a grant arrives, so that the instance still counts as wanting
+ * grants when the owner divides them. */
 static guint32
 grants_wanted(const endpoint_limit_t *l, gint64 now_us)
 {
@@ -225,7 +228,7 @@
     return grants_wanted(l, now_us) > 0;
 }
 
-/* `at_us` is 0 where there is no such moment. */
+/* `at_us` is 0 if the event never occurred. */
 static guint32
 age_ms(gint64 at_us, gint64 now_us)
 {
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -4,55 +4,55 @@
 
 enum {
     MS = 1000,
-    /* A grant is used within LIMIT_GRANT_LIFETIME_MS, or returned with the
-     * next ask; a second more for one that is late. */
+    /* A grant is used within LIMIT_GRANT_LIFETIME_MS or returned with the next
+     * request, which may be up to a second late. */
     GRANT_EXPIRY_US = (LIMIT_GRANT_LIFETIME_MS + 1000) * MS,
-    /* An instance that asked for sends within so long counts as one that has
-     * a use for some. */
+    /* An instance that requested grants within this time gets a share of what
+     * is granted. */
     WANTING_US = 1000 * MS,
     GRANTEE_TIMEOUT_US = 10 * 1000 * MS,
     OWNED_TIMEOUT_US = 60 * 1000 * MS,
-    /* The same of one that is only relayed: until endpoints that instances try
-     * without an owner have named their limits again. */
+    /* A relayed limit is kept until instances without an owner have sent to
+     * the endpoint and it has announced its limit again. */
     RELAYED_TIMEOUT_US = 30 * 1000 * MS,
 };
 
-/* Of the limit, what is granted in the long run. */
+/* Share of the limit that is granted in the long run. */
 static const double GRANT_FRACTION = 0.95;
-/* Grants in hand and to be had at once, in seconds of the limit, and sends
- * beyond. With the fill of 4 s that is 5.05 times the limit and 2.2, of 6
- * times and 5 that are borne; the rest is for instances that no owner
- * answers. */
+/* Bound on outstanding grants plus credit: seconds of the limit's rate, and a
+ * fixed number of sends. With the refill of 4 s this allows 5.05 times the
+ * rate plus 2.2 sends, while endpoints tolerate 6 times the rate plus 5. The
+ * rest is left to instances that no owner replies to. */
 static const double CREDIT_MAX_S = 1.25;
 static const double CREDIT_MAX_EXTRA = 2.2;
-/* A rate is told anew to all when it differs by more. */
+/* A rate is published again when it changed by more than this fraction. */
 static const double REPUBLISH_FRACTION = 0.1;
 
 typedef struct {
     char *name;
     guint64 incarnation;
-    guint64 sequence;  /* of its last ask */
-    guint64 used;      /* as told */
-    guint outstanding; /* grants that may still be used */
+    guint64 sequence;  /* of its last request */
+    guint64 used;      /* as of its last request */
+    guint outstanding; /* granted sends that may still be used */
     gint64 outstanding_until_us;
     gint64 requested_us;
-    gint64 wanted_us; /* when it last asked for sends */
+    gint64 wanted_us; /* when it last requested grants */
 } grantee_t;
 
 typedef struct {
     limit_state_t state;
-    gboolean owned;          /* FALSE: it is only relayed */
-    gint64 request_sent_us;  /* of the request that told the rate */
-    gint64 rate_received_us; /* when it was last named to some instance */
+    gboolean owned;          /* FALSE: only relayed */
+    gint64 request_sent_us;  /* send time of the request that set the rate */
+    gint64 rate_received_us; /* last response with a rate, at any instance */
     gint64 lifted_us;        /* see endpoint_limit_t */
     gint64 requested_us;
-    guint64 change_cursor; /* of its last change */
+    guint64 change_cursor; /* `changes` at its last change; 0: none */
     double published_rate;
-    double credit; /* sends that may be granted now */
-    gint64 filled_us;
-    guint outstanding;    /* of all holders */
-    GHashTable *grantees; /* name -> holder_t */
-    guint wanting;        /* of these, as last counted */
+    double credit;        /* sends that may be granted now */
+    gint64 filled_us;     /* when the credit was last refilled */
+    guint outstanding;    /* of all grantees */
+    GHashTable *grantees; /* name -> grantee_t */
+    guint wanting;        /* grantees that want grants, as last counted */
 } limit_t;
 
 struct limit_quota {
@@ -61,7 +61,7 @@
     guint in_force;
 };
 
-/* ---- limits and holders ---- */
+/* ---- limits and grantees ---- */
 
 static void
 grantee_free(gpointer data)
@@ -95,7 +95,8 @@
     return l;
 }
 
-/* What an owner before it granted may still be used. */
+/* Grants of a previous owner may still be in use, so a new owner starts with a
+ * credit of one send. */
 static void
 limit_take_ownership(limit_t *l, gint64 now_us)
 {
@@ -119,7 +120,7 @@
         g_hash_table_insert(l->grantees, g->name, g);
     }
     if (g->incarnation != requester->incarnation) {
-        /* What its last start held counts as used. */
+        /* Grants of its previous incarnation count as used. */
         l->outstanding -= g->outstanding;
         g->outstanding = 0;
         g->incarnation = requester->incarnation;
@@ -129,7 +130,7 @@
     return g;
 }
 
-/* ---- what is known of a limit ---- */
+/* ---- state of a limit ---- */
 
 static void
 publish(limit_quota_t *q, limit_t *l, gboolean limited)
@@ -148,11 +149,11 @@
     return difference <= REPUBLISH_FRACTION * l->published_rate;
 }
 
-/* From an instance that was told by an owner. */
+/* Applies a rate that the requester received from an owner. */
 static void
 apply_owner_rate(limit_quota_t *q, limit_t *l, const limit_request_t *request)
 {
-    if (l->change_cursor == 0) { /* that owner is gone, or forgot it */
+    if (l->change_cursor == 0) { /* that owner is gone or dropped the limit */
         l->state.rate = request->rate;
         publish(q, l, TRUE);
     }
@@ -237,7 +238,7 @@
     l->credit = MIN(l->credit + rate * seconds, room);
 }
 
-/* Its grants are over, used or not. */
+/* Expires the grants of a grantee, whether or not they were used. */
 static void
 grantee_expire(limit_t *l, grantee_t *g, gint64 now_us)
 {
@@ -247,7 +248,8 @@
     }
 }
 
-/* Grants that it neither used nor holds were returned, or never reached it. */
+/* Grants that the grantee neither used nor has outstanding were returned or
+ * never reached it, and go back to the credit. */
 static void
 grantee_settle(limit_t *l, grantee_t *g, const limit_request_t *request)
 {
@@ -259,7 +261,7 @@
     g->used = request->used;
 }
 
-/* A part of what may be granted goes to each that has a use for it. */
+/* Grants an equal share of the credit to each grantee that wants grants. */
 static guint32
 grantee_grant(limit_t *l, grantee_t *g, guint32 wanted, gint64 now_us)
 {
@@ -292,14 +294,14 @@
     grantee_expire(l, g, now_us);
     grantee_settle(l, g, request);
     credit_refill(l, now_us);
-    limit_grant_t answer = {.state = l->state};
+    limit_grant_t reply = {.state = l->state};
     if (l->state.limited) {
-        answer.granted = grantee_grant(l, g, request->wanted, now_us);
+        reply.granted = grantee_grant(l, g, request->wanted, now_us);
     }
-    return answer;
+    return reply;
 }
 
-/* ---- time ---- */
+/* ---- expiry ---- */
 
 static void
 expire_grantees(limit_t *l, gint64 now_us)
@@ -336,7 +338,7 @@
     }
 }
 
-/* ---- what is told ---- */
+/* ---- published changes ---- */
 
 guint64
 limit_quota_cursor(const limit_quota_t *q)
@@ -405,9 +407,8 @@
         g_string_append_printf(
             text,
             "limit of %016" G_GINT64_MODIFIER "x: %s%s %.2f a second, %u "
-            "granted, %.1f to be had, %u instances ask, %u want some, asked "
-            "%ld ms "
-            "ago\n",
+            "granted, %.1f available, %u instances ask, %u want grants, last "
+            "request %ld ms ago\n",
             l->state.endpoint, l->owned ? "" : "relayed, ",
             l->state.limited ? "in force," : "lifted,", l->state.rate,
             l->outstanding, l->credit, g_hash_table_size(l->grantees),
