--- a/include/carobloom/policy/instance_count.h
+++ b/include/carobloom/policy/instance_count.h
@@ -1,24 +1,26 @@
-/* How many instances share what all of them must keep together.
+/* Estimates how many instances share a common limit.
  *
- * A control instance that has just started, or lies behind a cut, counts too
- * few; a share of the whole by that count would be too large. So the count
- * rises at once and falls only after it was lower for a while. Pure. */
+ * A control instance that has just started or is partitioned counts too few
+ * instances, and shares computed from that count would be too large. The
+ * estimate therefore rises at once and falls only after the reported count has
+ * been lower for a while. Pure. */
 #ifndef CAROBLOOM_POLICY_INSTANCE_COUNT_H
 #define CAROBLOOM_POLICY_INSTANCE_COUNT_H
 
 #include <glib.h>
 
 typedef struct {
-    gint64 window_start_us; /* the start of the span of `most` */
-    guint window_max;       /* told in this span */
-    guint previous_max;     /* told in the one before */
+    gint64 window_start_us;
+    guint window_max;   /* highest count reported in this window */
+    guint previous_max; /* the same of the previous window */
 } instance_count_t;
 
+/* Records the count that a control instance reported. */
 void instance_count_record(instance_count_t *count, guint reported,
                            gint64 now_us);
-/* At least 1. */
+/* Returns the estimated number of instances, at least 1. */
 guint instance_count_get(const instance_count_t *count);
-/* The share of one instance in `whole`, at least `least`. */
+/* Returns the share of one instance in `whole`, at least `min_share`. */
 guint instance_count_share(const instance_count_t *count, guint whole,
                            guint min_share);
 
--- a/policy/collector.c
+++ b/policy/collector.c
@@ -3,15 +3,15 @@
 #include "carobloom/policy/rendezvous.h"
 
 enum {
-    /* Half of what a long prompt is read in: what is known of an engine then
-     * misses one at most of those sent there by others. */
+    /* Half the time in which an engine reads a long prompt: the load known of
+     * an engine then misses at most one prompt that other instances sent. */
     REPORT_INTERVAL_MIN_MS = 100,
-    /* A report costs a control instance some 0.05 ms, so that all that go to
-     * one take 3.4% of a core at most: 67 entry instances at 100 ms, and with
-     * nine control instances 600. Beyond that they ask less often. */
+    /* A report takes a control instance about 0.05 ms, so all reports to one
+     * take at most 3.4% of a core: 67 entry instances at 100 ms, or 600 with
+     * nine control instances. Above that, the interval grows. */
     REPORT_INTERVAL_US_PER_REPORTER = 1500,
-    /* Reports that may be lost or late before an instance's requests are
-     * taken to have ended with it. */
+    /* Number of reports that may be lost or late before an instance is
+     * considered dead and its requests ended. */
     MISSED_REPORTS_MAX = 8,
     EXACT_ENTRIES_MAX = 32,
 };
--- a/policy/instance_count.c
+++ b/policy/instance_count.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/instance_count.h"
 
-/* A control instance that starts again counts all that ask within seconds;
- * one behind a cut, once that is over. */
+/* A restarted control instance counts all instances that send requests to it
+ * within seconds; a partitioned one does once the partition heals. */
 enum { WINDOW_US = 30 * 1000 * 1000 };
 
 void
--- a/policy/limit_retry.c
+++ b/policy/limit_retry.c
@@ -3,8 +3,8 @@
 enum {
     MS = 1000,
     WAIT_MIN_MS = 200,
-    /* Callers wait a third of their time at most; one that was told more
-     * comes back no later. */
+    /* Callers wait at most a third of their timeout, so a longer delay would
+     * not make them retry any later. */
     WAIT_MAX_MS = 5000,
 };
 
@@ -19,8 +19,9 @@
     if (wait_ms <= WAIT_MAX_MS) {
         return (gint)wait_ms;
     }
-    /* More were refused than can come back in that time: they are spread over
-     * it, and the last one is not put off further. */
+    /* More callers were refused than can retry within WAIT_MAX_MS: their
+     * retries are spread over that time, and the last is not delayed further.
+     */
     r->next_us = now_us + (gint64)WAIT_MAX_MS * MS;
     return (gint)(WAIT_MIN_MS + draw * (WAIT_MAX_MS - WAIT_MIN_MS));
 }
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -5,15 +5,15 @@
 #include "carobloom/policy/endpoint_limit.h"
 
 static const double DECAY_S = 2;
-/* Over less than this the counts say little. */
+/* Counts over a shorter period are too few for an estimate. */
 static const double SPAN_MIN_S = 0.5;
-/* Grants after which sends that urgent requests took have surely been granted
- * anew. */
+/* Sends that urgent requests use are granted again within this number of
+ * grants, so the demand of a longer period needs no reserve. */
 static const double GRANTS_AHEAD = 3;
-/* The last send is kept where more urgent requests than this are expected to
- * want it. */
+/* The last send is reserved if more than this number of more urgent requests
+ * is expected. */
 static const double EXPECTED_MIN = 0.15;
-/* Of more urgent requests, one in the life of a grant. */
+/* More urgent requests per second: one per lifetime of a grant. */
 static const double FREQUENT_RATE = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
 
 static void
@@ -73,7 +73,7 @@
     double wanted = wanted_by_more_urgent(s, rank);
     double wanted_rate = wanted / span_s;
     if (wanted >= s->granted && wanted_rate >= FREQUENT_RATE) {
-        return TRUE; /* they would use all */
+        return TRUE; /* more urgent requests would use all sends */
     }
     double left_s = (double)tokens->left_us / G_USEC_PER_SEC;
     if (s->grants > 0) {
