--- a/include/carobloom/policy/crash_ledger.h
+++ b/include/carobloom/policy/crash_ledger.h
@@ -1,18 +1,21 @@
-/* Which requests crash the endpoints that run them, judged from the ends of
- * endpoints and what ran there.
+/* Detects requests that crash the endpoints that run them, from ends of
+ * endpoints and the requests that were running there.
  *
- * Each entry instance sees a part of what ran on an endpoint that ended, so
- * all tell every control instance, and each of those keeps a ledger. There is
- * no agreement between them and none is needed: what is noted only adds up,
- * and an entry instance holds back what any of them has found.
+ * An end is a process of an endpoint that ended without announcing it. Each
+ * entry instance knows only a part of what ran on an endpoint that ended, so
+ * every entry instance reports to every control instance, and each control
+ * instance keeps a ledger of its own. The ledgers need no agreement: reports
+ * only add up, and an entry instance quarantines a request that any ledger
+ * orders to be quarantined.
  *
- * A request is found to be the cause when enough endpoints ended under it and
- * none answered it since. What ran beside it was at its first ends too, so an
- * end counts for one cause only, and of two requests that were at the same
- * ends neither is held until the ends tell them apart. Where they do not, all
- * are held in doubt, as is one whose ends are not the only ones that nothing
- * else explains. What is doubted is tried, one at a time and by one entry
- * instance, until an answer or a further end tells. Pure. */
+ * A request is the cause if enough endpoints ended while running it and none
+ * has answered it since. Other requests ran beside it at its first ends, so
+ * each end counts for one cause only. Of two requests that were at the same
+ * ends, neither is quarantined until further ends distinguish them. If none
+ * do, both are quarantined as uncertain. A request is also uncertain if there
+ * are ends besides its own that nothing else explains. Uncertain requests are
+ * probed one at a time, each by one entry instance, until a response or
+ * another end decides. Pure. */
 #ifndef CAROBLOOM_POLICY_CRASH_LEDGER_H
 #define CAROBLOOM_POLICY_CRASH_LEDGER_H
 
@@ -22,50 +25,54 @@
 
 typedef struct crash_ledger crash_ledger_t;
 
-/* A request that is held back, or no longer is. */
+/* An order to quarantine a request, or to release it. */
 typedef struct {
     guint64 fingerprint;
-    gint64 left_us;  /* that it is held for from now on; 0: it is not held */
-    gint64 since_us; /* since the first end it was at */
-    char *endpoints; /* ids of those that ended under it, by commas */
-    gboolean uncertain; /* it may not be the cause: it is tried soon */
-    guint probe; /* it may be sent once, by one instance; counts up. 0: it
-                    may not */
-    char *probe_instance; /* the name of that instance, which the ledger does
-                       not choose; NULL: not chosen */
+    gint64 left_us;       /* remaining time in quarantine; 0: released */
+    gint64 since_us;      /* time since the first end it was at */
+    char *endpoints;      /* ids of the ended endpoints, comma-separated */
+    gboolean uncertain;   /* may not be the cause, and is probed soon */
+    guint probe;          /* number of the probe in which one instance may send
+                             the request once, counts up; 0: none */
+    char *probe_instance; /* name of the instance that sends the probe, chosen
+                             outside the ledger; NULL: not chosen */
 } quarantine_order_t;
 
-/* For arrays of orders. */
+/* Frees the members of an order in an array of orders. */
 void quarantine_order_clear(gpointer order);
+/* Creates an array of quarantine_order_t that frees its members. */
 GArray *quarantine_orders_new(void);
 
-/* A request is held for `memory_us` from the last end that it is found to be
- * the cause of, and ends are remembered as long. */
+/* Creates a ledger that keeps ends for `memory_us`, and quarantines a request
+ * for as long after the last end that it caused. */
 crash_ledger_t *crash_ledger_create(gint64 memory_us);
 void crash_ledger_destroy(crash_ledger_t *ledger);
 void crash_ledger_set_memory(crash_ledger_t *ledger, gint64 memory_us);
-/* Runs of an end told before are added to it. */
+/* Records an end. Runs of an end that was already recorded are added to it. */
 void crash_ledger_record_end(crash_ledger_t *ledger, const endpoint_end_t *end,
                              gint64 now_us);
-/* An endpoint answered the request whole: it was no cause so far. */
+/* Records that an endpoint answered the request completely, which clears it of
+ * all ends up to now. */
 void crash_ledger_record_answered(crash_ledger_t *ledger, guint64 fingerprint,
                                   gint64 now_us);
-/* Takes back an order that was kept over a restart. */
+/* Restores an order that was stored across a restart. */
 void crash_ledger_restore(crash_ledger_t *ledger,
                           const quarantine_order_t *order, gint64 now_us);
-/* Judges what is ripe and lets go what is old; to be called several times a
- * second. */
+/* Evaluates suspects that are due, and expires ends and orders. Call it
+ * several times per second. */
 void crash_ledger_evaluate(crash_ledger_t *ledger, gint64 now_us);
-/* Raised with each order, given or taken back. */
+/* Increases with each order to quarantine, release or probe a request. */
 guint64 crash_ledger_cursor(const crash_ledger_t *ledger);
-/* Orders after the cursor, the oldest first, at most `most`; the cursor is
- * moved to the last of them. A new array. */
+/* Returns a new array with the orders after `cursor`, oldest first, at most
+ * `max_count`. Moves `cursor` to the last one returned. */
 GArray *crash_ledger_orders_since(const crash_ledger_t *ledger,
                                   guint64 *cursor, guint max_count,
                                   gint64 now_us);
-/* What is held, and what is remembered of endpoints and requests. */
+/* Returns the number of quarantined requests. */
 guint crash_ledger_quarantined(const crash_ledger_t *ledger);
+/* Returns the number of requests with recorded ends or orders. */
 guint crash_ledger_suspects(const crash_ledger_t *ledger);
+/* Returns the number of recorded ends. */
 guint crash_ledger_ends(const crash_ledger_t *ledger);
 
 #endif
--- a/include/carobloom/policy/fingerprint.h
+++ b/include/carobloom/policy/fingerprint.h
@@ -1,7 +1,7 @@
-/* What makes two requests the same one: who asks, where, and for what.
+/* Identity of a request: its caller, its destination and its content.
  *
- * A caller that asks again does so under a new id and at any instance, so what
- * is to be known of a request beyond one attempt goes by this. */
+ * A caller that retries does so under a new request id and at any instance, so
+ * state that outlives one attempt is keyed by the fingerprint. */
 #ifndef CAROBLOOM_POLICY_FINGERPRINT_H
 #define CAROBLOOM_POLICY_FINGERPRINT_H
 
@@ -11,19 +11,20 @@
 
 enum { FINGERPRINT_TEXT_SIZE = 17 }; /* 16 digits and a zero byte */
 
-/* Views of the parts of a request that count. */
+/* Views of the parts of a request that identify it. */
 typedef struct {
-    str_t caller; /* its team; empty where no key is needed */
+    str_t caller; /* team of the caller; empty if no key is required */
     str_t method;
     str_t host;
     str_t target; /* path and query */
     str_t body;
 } request_identity_t;
 
-/* The same on every instance; never 0. 64 bits: of 10,000 fingerprints that
- * are remembered, one in 10^15 other requests meets one by chance. */
+/* Returns the same value on every instance, never 0. With 10,000 stored
+ * fingerprints of 64 bits, one in 10^15 other requests collides with one of
+ * them. */
 guint64 request_fingerprint(const request_identity_t *identity);
-/* As it stands in log lines. */
+/* Writes the fingerprint in the format of log lines, 16 hexadecimal digits. */
 void fingerprint_format(guint64 fingerprint, char text[FINGERPRINT_TEXT_SIZE]);
 
 #endif
--- a/include/carobloom/policy/repeat_budget.h
+++ b/include/carobloom/policy/repeat_budget.h
@@ -1,8 +1,9 @@
-/* How many requests may be sent a second time, per service.
+/* Budget for requests that are sent a second time, per service.
  *
- * All instances share a budget that nobody counts in common: each spends a
- * part of its own first sends, and of the fixed slack its share by the number
- * of instances. The sum over all then keeps the whole. */
+ * All instances share a budget without a common counter: each spends a
+ * fraction of its own first sends, and its share of the fixed slack by the
+ * number of instances. The sum over all instances then stays within the
+ * budget. */
 #ifndef CAROBLOOM_POLICY_REPEAT_BUDGET_H
 #define CAROBLOOM_POLICY_REPEAT_BUDGET_H
 
@@ -11,21 +12,24 @@
 enum { REPEAT_BUDGET_SLOTS = 20 };
 
 typedef struct {
-    gint64 window_us; /* over which the budget holds, at every moment */
-    double ratio;     /* repeats for each first send */
-    double slack;     /* repeats beyond, of all instances together */
+    gint64 window_us; /* sliding window to which the budget applies */
+    double ratio;     /* repeats per first send */
+    double slack;     /* additional repeats of all instances together */
 } repeat_limits_t;
 
+/* Counts of one service in slots of the window, indexed by `slot` modulo
+ * REPEAT_BUDGET_SLOTS. */
 typedef struct {
     gint64 slot;
     guint firsts[REPEAT_BUDGET_SLOTS];
     guint repeats[REPEAT_BUDGET_SLOTS];
 } repeat_budget_t;
 
+/* Records the first send of a request. */
 void repeat_budget_record_first(repeat_budget_t *budget,
                                 const repeat_limits_t *limits, gint64 now_us);
-/* Takes one repeat; FALSE when the budget is spent. `instances` share the
- * slack. */
+/* Takes one repeat from the budget; FALSE when it is spent. `instances` share
+ * the slack. */
 gboolean repeat_budget_take(repeat_budget_t *budget,
                             const repeat_limits_t *limits, guint instances,
                             gint64 now_us);
--- a/include/carobloom/policy/run_history.h
+++ b/include/carobloom/policy/run_history.h
@@ -1,5 +1,5 @@
-/* What became of the requests that an entry instance sent lately: answered
- * whole, or cut by the end of their endpoint. Of fixed size. Pure. */
+/* Outcomes of the requests that an entry instance sent recently: answered
+ * completely, or cut off by the end of their endpoint. Of fixed size. Pure. */
 #ifndef CAROBLOOM_POLICY_RUN_HISTORY_H
 #define CAROBLOOM_POLICY_RUN_HISTORY_H
 
@@ -7,7 +7,8 @@
 
 enum { RUN_HISTORY_SLOTS = 2048 };
 
-/* One request in each slot, by its fingerprint; the later one stays. */
+/* A slot, selected by fingerprint, holds the latest request that maps to it.
+ */
 typedef struct {
     guint64 fingerprint;
     gint64 at_us;
@@ -18,15 +19,18 @@
     run_record_t cut[RUN_HISTORY_SLOTS];
 } run_history_t;
 
+/* Records that a request was answered completely. */
 void run_history_record_answered(run_history_t *history, guint64 fingerprint,
                                  gint64 now_us);
+/* Records that a request was cut off by the end of its endpoint. */
 void run_history_record_cut(run_history_t *history, guint64 fingerprint,
                             gint64 now_us);
-/* Whether it was answered within the last seconds: then it is no request that
- * no endpoint survives. */
+/* Returns whether the request was answered within the last 10 s, and so does
+ * not crash every endpoint that runs it. */
 gboolean run_history_is_answered(const run_history_t *history,
                                  guint64 fingerprint, gint64 now_us);
-/* Whether an end cut it that is not made up for yet; asked once, forgotten. */
+/* Returns whether the request was cut off and not answered since, and removes
+ * that record. */
 gboolean run_history_take_cut(run_history_t *history, guint64 fingerprint);
 
 #endif
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -2,46 +2,49 @@
 
 enum {
     MS = 1000,
-    /* Ends that make a request the cause. One may be chance, and so may two
-     * for a caller that asks again at once; each more costs an endpoint and
-     * all that runs there. */
+    /* Ends after which a request is the cause. One may be coincidence, and so
+     * may two if the caller retries at once; each further end costs an
+     * endpoint and all requests that run there. */
     CAUSE_ENDS_MIN = 3,
-    /* Two that share so many ends are told apart by the next one only. */
+    /* Two requests that share this many ends are rivals: only a further end
+     * can tell which is the cause. */
     RIVAL_SHARED_ENDS_MIN = 2,
-    /* Requests that the ends do not tell apart are held together after so
-     * many. With the two trials that follow the cause is sent three
-     * times after its third end, which is what sites are willing to bear. */
+    /* Rivals are quarantined together after this many ends. With the two
+     * probes that follow, the cause is sent three times after its third end,
+     * which is the most that sites accept. */
     TIED_ENDS_MIN = 4,
-    /* Trials that are cut make it the cause. One may be by chance: 2 of 300
-     * histories of the test then ended with another request held. */
+    /* Probes with an endpoint end that confirm the cause. One may be
+     * coincidence: it left a wrong request quarantined in 2 of 300 simulated
+     * histories. */
     FAILED_PROBES_MIN = 2,
-    /* One of them is tried at a time, for so long: the caller comes again, is
-     * answered or cut, and that is known everywhere. */
+    /* Duration of a probe; there is one at a time. Within it the caller
+     * retries, the request is answered or cut off, and all control instances
+     * learn the outcome. */
     PROBE_US = 3000 * MS,
-    /* How much an end counts: half where the request had answered for long,
-     * since one that crashes its endpoint does so as it begins. */
+    /* Weight of an end: half if the response had been streaming for long,
+     * because a request that crashes its endpoint does so as it begins. */
     WEIGHT_BEGINNING = 2,
     WEIGHT_LONG = 1,
-    /* From when a request is suspect enough until it is judged: for the other
-     * entry instances to tell what ran there as well. A tenth of the three
-     * seconds after which all are to know. */
+    /* Delay between reaching the threshold and the evaluation, in which the
+     * other entry instances report what ran there as well. A tenth of the
+     * three seconds within which all instances must know the result. */
     SETTLE_US = 300 * MS,
-    /* Bounds of memory: 33,000 suspects of 260 bytes, 8 MB. An end may take in
-     * what waited there as well as what its slots held. */
+    /* Memory bounds: 33,000 suspects of 260 bytes, 8 MB. The requests of an
+     * end may include those that waited as well as those in slots. */
     ENDS_MAX = 128,
     END_REQUESTS_MAX = 256,
     QUARANTINED_MAX = 4096,
-    SUSPECT_ENDS_MAX = 6,    /* of one request; the oldest give way */
-    ORDER_ENDPOINTS_MAX = 4, /* endpoints named in an order */
+    SUSPECT_ENDS_MAX = 6,    /* per request; the oldest are dropped */
+    ORDER_ENDPOINTS_MAX = 4, /* endpoints listed in an order */
 };
 
-/* An endpoint that ended. */
+/* The end of an endpoint. */
 typedef struct {
-    char *key; /* id and start */
+    char *key; /* id and incarnation */
     char *endpoint;
     gint64 at_us;
-    GArray *fingerprints; /* guint64, of what ran there */
-    guint64 cause;        /* the request that is held for it; 0: none yet */
+    GArray *fingerprints; /* guint64, of the requests that ran there */
+    guint64 cause;        /* request quarantined as its cause; 0: none yet */
 } end_record_t;
 
 typedef struct {
@@ -49,23 +52,23 @@
     run_stage_t stage;
 } suspect_end_t;
 
-/* A request that ran on an endpoint that ended. */
+/* A request that ran on an endpoint as it ended. */
 typedef struct {
     guint64 fingerprint;
     suspect_end_t ends[SUSPECT_ENDS_MAX];
     guint count;
-    gint64 due_us;   /* when it may be judged; 0: not suspect enough */
-    gint64 since_us; /* its first end */
-    gint64 quarantined_until_us; /* held until then; 0: not held */
-    gint64 probation_until_us; /* held before: until then one end is enough */
-    gboolean uncertain;        /* held, but maybe not the cause */
-    gboolean confirmed;        /* an endpoint ended under it on trial */
-    guint failed_probes;       /* of trials */
-    gint64 probed_us;          /* when it was on trial last, or held */
+    gint64 due_us;   /* when it is evaluated; 0: below the threshold */
+    gint64 since_us; /* time of its first end */
+    gint64 quarantined_until_us; /* 0: not quarantined */
+    gint64 probation_until_us;   /* after a quarantine, one end is enough */
+    gboolean uncertain;          /* quarantined, but may not be the cause */
+    gboolean confirmed;          /* by probes during which endpoints ended */
+    guint failed_probes;         /* probes during which an endpoint ended */
+    gint64 probed_us;            /* time of its last probe or quarantine */
     guint probes;
-    gint64 order_expires_us; /* an order about it is told until then */
-    guint64 order_cursor;    /* the cursor at its last order; 0: none */
-    char *endpoints;         /* of the order */
+    gint64 order_expires_us; /* its order is published until then */
+    guint64 order_cursor;    /* ledger cursor at its last order; 0: none */
+    char *endpoints;         /* listed in the order */
     GList *link;             /* in `orders` */
 } suspect_t;
 
@@ -74,11 +77,11 @@
     GHashTable *ends;     /* key -> end_record_t */
     GQueue by_age;        /* end_record_t, the oldest at the head */
     GHashTable *suspects; /* fingerprint -> suspect_t */
-    GHashTable *due;      /* set of suspect_t that are to be judged */
+    GHashTable *due;      /* set of suspect_t to be evaluated */
     GQueue orders;        /* suspect_t, the last changed at the tail */
     guint64 cursor;
     guint quarantined;
-    suspect_t *probing; /* one that is doubted; or NULL */
+    suspect_t *probing; /* uncertain suspect being probed, or NULL */
     gint64 probe_end_us;
 };
 
@@ -98,7 +101,7 @@
     return orders;
 }
 
-/* ---- life ---- */
+/* ---- create and destroy ---- */
 
 static void
 suspect_free(gpointer data)
@@ -167,7 +170,7 @@
     return s;
 }
 
-/* Forgets a request of which nothing is known any more. */
+/* Removes a suspect without ends and without an order. */
 static void
 suspect_remove_unused(crash_ledger_t *l, suspect_t *s)
 {
@@ -198,7 +201,7 @@
     }
 }
 
-/* Ends that another request is held for do not count. */
+/* Ends with another request as their cause don't count. */
 static guint
 suspect_weight(const suspect_t *s)
 {
@@ -246,7 +249,7 @@
     s->link = l->orders.tail;
 }
 
-/* It is the cause, or it is not. */
+/* Ends the uncertainty about a suspect, whether or not it is the cause. */
 static void
 clear_uncertain(crash_ledger_t *l, suspect_t *s)
 {
@@ -267,7 +270,7 @@
     order_update(l, s, now_us);
 }
 
-/* The one whose order was given first makes room. */
+/* Releases the quarantined request with the oldest order. */
 static void
 evict_oldest(crash_ledger_t *l, gint64 now_us)
 {
@@ -305,7 +308,7 @@
     return g_string_free(names, FALSE);
 }
 
-/* Holds a request and puts its ends down to it. */
+/* Quarantines a request and records it as the cause of its ends. */
 static void
 quarantine_as_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
@@ -319,9 +322,10 @@
     quarantine(l, s, now_us + l->memory_us, now_us);
 }
 
-/* It was doubted and is the cause: what was doubted with it and was only at
- * its ends is let go. One that is confirmed already stays so: to doubt it anew
- * had the cause sent a fourth time in 9 of 20,000 histories of the test. */
+/* Confirms an uncertain suspect as the cause, and releases uncertain suspects
+ * that were only at its ends. A confirmed suspect doesn't become uncertain
+ * again while it is quarantined: that would send the cause a fourth time, as
+ * in 9 of 20,000 simulated histories. */
 static void
 confirm_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
@@ -345,7 +349,7 @@
     }
 }
 
-/* ---- what is noted ---- */
+/* ---- reported ends and responses ---- */
 
 static void
 end_remove(crash_ledger_t *l, end_record_t *end)
@@ -404,7 +408,8 @@
     s->ends[s->count++] = (suspect_end_t){.end = end, .stage = run.stage};
     g_array_append_val(end->fingerprints, run.fingerprint);
     if (s->quarantined_until_us != 0 && end->cause == 0) {
-        end->cause = s->fingerprint; /* sent before all knew, or on trial */
+        /* Sent as a probe, or before all instances had the order. */
+        end->cause = s->fingerprint;
     }
     if (s->uncertain && run.stage == RUN_TRIED) {
         s->failed_probes++;
@@ -430,8 +435,8 @@
     }
 }
 
-/* The end has another cause than was thought: the others that were there are
- * to be judged for it. */
+/* Clears the cause of an end after an endpoint answered that request, and
+ * schedules the evaluation of the other requests that ran there. */
 static void
 end_clear_cause(crash_ledger_t *l, end_record_t *end, gint64 now_us)
 {
@@ -483,13 +488,13 @@
     s->since_us = now_us - order->since_us;
     s->uncertain = order->uncertain;
     quarantine(l, s, now_us + MIN(order->left_us, l->memory_us), now_us);
-    s->probed_us = now_us - PROBE_US; /* it has waited before */
+    s->probed_us = now_us - PROBE_US; /* due for a probe at once */
 }
 
-/* ---- judging ---- */
+/* ---- evaluation ---- */
 
-/* Whether the other is as suspect, and was at so many of the same ends that
- * they do not tell which is the cause. */
+/* Returns whether `other` has at least the weight of `s` and shares so many
+ * ends with it that the cause can't be determined. */
 static gboolean
 is_rival(const suspect_t *s, const suspect_t *other, gint64 now_us)
 {
@@ -506,7 +511,8 @@
     return shared >= RIVAL_SHARED_ENDS_MIN;
 }
 
-/* The rivals of a request, at most `most` of them; freed without them. */
+/* Returns at most `max_count` rivals of a suspect, in an array that doesn't
+ * own them. */
 static GPtrArray *
 rivals_of(const crash_ledger_t *l, const suspect_t *s, guint max_count,
           gint64 now_us)
@@ -526,8 +532,8 @@
     return rivals;
 }
 
-/* Whether endpoints end that neither this nor a held request is the cause
- * of. */
+/* Returns whether there are ends that neither this suspect nor a quarantined
+ * request explains. */
 static gboolean
 has_unexplained_ends(const crash_ledger_t *l, const suspect_t *s)
 {
@@ -540,10 +546,10 @@
     return FALSE;
 }
 
-/* A request that crashes endpoints is rare. Where several are held, or
- * endpoints end besides, some were most likely at their three ends by chance:
- * in 59 of 300 histories of the test, while others ended each five seconds.
- * Each is doubted until it was tried. */
+/* Requests that crash endpoints are rare. If several are quarantined, or there
+ * are unexplained ends, some of them were probably at their three ends by
+ * coincidence: so it was in 59 of 300 simulated histories with an unrelated
+ * end every five seconds. Each stays uncertain until it was probed. */
 static void
 mark_quarantined_uncertain(crash_ledger_t *l, gint64 now_us)
 {
@@ -559,7 +565,7 @@
     }
 }
 
-/* TRUE when the request was held. */
+/* Returns TRUE if the request was quarantined. */
 static gboolean
 evaluate_suspect(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
@@ -573,7 +579,8 @@
     if (now_us < s->due_us && !tied) {
         return FALSE;
     }
-    /* While it waits, one rival is reason enough: thousands may be tied. */
+    /* One rival is enough to postpone a decision, and there may be thousands.
+     */
     GPtrArray *rivals = rivals_of(l, s, tied ? END_REQUESTS_MAX : 1, now_us);
     gboolean quarantined = rivals->len == 0 || tied;
     if (quarantined) {
@@ -597,8 +604,8 @@
     return x > y ? -1 : x < y;
 }
 
-/* The most suspect first: what it is found to have caused no longer counts
- * for the others. */
+/* Evaluates the suspect with the highest weight first, because ends that it
+ * caused no longer count for the others. */
 static void
 evaluate_due(crash_ledger_t *l, gint64 now_us)
 {
@@ -630,7 +637,8 @@
     }
 }
 
-/* What was held long enough may run again, on trial. */
+/* Ends expired quarantines, each followed by a probation, and removes expired
+ * orders. */
 static void
 expire_orders(crash_ledger_t *l, gint64 now_us)
 {
@@ -654,8 +662,8 @@
     }
 }
 
-/* The doubted request that was tried the longest ago, if that is long enough.
- */
+/* Returns the uncertain suspect with the oldest probe that is at least
+ * PROBE_US ago, or NULL. */
 static suspect_t *
 next_probe(const crash_ledger_t *l, gint64 now_us)
 {
@@ -666,7 +674,7 @@
         gboolean earlier =
             next == NULL || s->probed_us < next->probed_us ||
             (s->probed_us == next->probed_us &&
-             s->fingerprint < next->fingerprint); /* alike at all instances */
+             s->fingerprint < next->fingerprint); /* same at all instances */
         if (due && earlier) {
             next = s;
         }
@@ -674,7 +682,7 @@
     return next;
 }
 
-/* Ends a trial that brought nothing, and begins the next. */
+/* Ends a probe without result, and starts the next one. */
 static void
 update_probe(crash_ledger_t *l, gint64 now_us)
 {
@@ -706,7 +714,7 @@
     update_probe(l, now_us);
 }
 
-/* ---- what is told ---- */
+/* ---- published orders ---- */
 
 guint64
 crash_ledger_cursor(const crash_ledger_t *l)
@@ -744,7 +752,7 @@
         *cursor = s->order_cursor;
     }
     if (link == NULL) {
-        *cursor = l->cursor; /* of orders that are forgotten, too */
+        *cursor = l->cursor; /* includes orders that have expired */
     }
     return orders;
 }
--- a/policy/fingerprint.c
+++ b/policy/fingerprint.c
@@ -5,7 +5,8 @@
 guint64
 request_fingerprint(const request_identity_t *identity)
 {
-    /* Each part is hashed by itself, so that none can run into the next. */
+    /* Each part is hashed separately, so that text moved from one part to the
+     * next gives a different fingerprint. */
     guint64 hash = hash_text(identity->caller);
     hash = hash_pair(hash, hash_text(identity->method));
     hash = hash_pair(hash, hash_text(identity->host));
--- a/policy/quarantine.c
+++ b/policy/quarantine.c
@@ -1,11 +1,11 @@
 #include "carobloom/policy/quarantine.h"
 
-/* More than a control instance holds, since several may hold different ones.
- * A held request takes some 150 bytes: 1.2 MB. */
+/* More than one control instance quarantines, because several may order
+ * different requests. An entry takes about 150 bytes: 1.2 MB. */
 enum { QUARANTINED_MAX = 8192 };
 
-/* Several control instances order the same trial within a second; by then all
- * know how it went. */
+/* Minimum time between two probes of a request. Several control instances
+ * order the same probe within a second, and all know its outcome by then. */
 static const gint64 PROBE_INTERVAL_US = 5 * G_USEC_PER_SEC;
 
 struct quarantine {
@@ -36,7 +36,7 @@
     g_free(q);
 }
 
-/* NULL when there is no room. */
+/* Returns NULL if the quarantine is full. */
 static quarantined_request_t *
 entry_add(quarantine_t *q, guint64 fingerprint)
 {
--- a/policy/repeat_budget.c
+++ b/policy/repeat_budget.c
@@ -1,12 +1,11 @@
 #include "carobloom/policy/repeat_budget.h"
 
-/* Of what an instance may spend by its own count it spends this part: an
- * instance added or one that is slow to hear of others must not break the
- * sum. */
+/* An instance spends only this fraction of its budget, so that a new instance,
+ * or one that learns of others late, doesn't push the sum over the budget. */
 static const double SAFETY_FRACTION = 0.7;
 
-/* The part of the window that the slots cover; the oldest is cleared as a new
- * one begins. */
+/* Moves to the slot of the current time, and clears the slots in between. They
+ * held counts that are now older than the window. */
 static void
 advance(repeat_budget_t *b, const repeat_limits_t *limits, gint64 now_us)
 {
--- a/policy/run_history.c
+++ b/policy/run_history.c
@@ -1,8 +1,8 @@
 #include "carobloom/policy/run_history.h"
 
-/* A popular request is answered many times within it, at each instance. One
- * that a new release of its endpoints can no longer bear crashes them for so
- * long before it counts. */
+/* Each instance answers a popular request many times within this time. A
+ * request that begins to crash a new release of its endpoints goes undetected
+ * for this long. */
 static const gint64 ANSWERED_TIMEOUT_US = 10 * G_USEC_PER_SEC;
 
 static void
