--- a/include/carobloom/policy/limit_share.h
+++ b/include/carobloom/policy/limit_share.h
@@ -15,8 +15,8 @@
 
 /* Counts that decay exponentially over seconds. Initially all zero. */
 typedef struct {
-    gint64 at_us;  /* time of the last decay */
-    double span_s; /* period that the counts cover */
+    gint64 decayed_us; /* time of the last decay */
+    double span_s;     /* period that the counts cover */
     double grants;
     double granted;             /* sends */
     double wanted[LIMIT_RANKS]; /* 0 is the most urgent */
--- a/include/carobloom/policy/limits.h
+++ b/include/carobloom/policy/limits.h
@@ -7,8 +7,8 @@
 /* A token bucket of size `burst` that refills at `rate` per second. */
 typedef struct {
     double level;
-    gint64 at_us;
-    gboolean started;
+    gint64 refilled_us;
+    gboolean initialized;
 } bucket_t;
 
 /* Takes `cost` tokens and returns 0, or returns the microseconds until that
--- a/include/carobloom/policy/run_history.h
+++ b/include/carobloom/policy/run_history.h
@@ -11,7 +11,7 @@
  */
 typedef struct {
     guint64 fingerprint;
-    gint64 at_us;
+    gint64 recorded_us;
 } run_record_t;
 
 typedef struct {
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -42,7 +42,7 @@
 typedef struct {
     char *key; /* id and incarnation */
     char *endpoint;
-    gint64 at_us;
+    gint64 recorded_us;
     GArray *fingerprints; /* guint64, of the requests that ran there */
     guint64 cause;        /* request quarantined as its cause; 0: none yet */
 } end_record_t;
@@ -383,7 +383,7 @@
     end = g_new0(end_record_t, 1);
     end->key = key;
     end->endpoint = g_strdup(reported->endpoint);
-    end->at_us = now_us;
+    end->recorded_us = now_us;
     end->fingerprints = g_array_new(FALSE, FALSE, sizeof(guint64));
     g_hash_table_insert(l->ends, end->key, end);
     g_queue_push_tail(&l->by_age, end);
@@ -632,7 +632,7 @@
 {
     end_record_t *end;
     while ((end = g_queue_peek_head(&l->by_age)) != NULL &&
-           now_us - end->at_us > l->memory_us) {
+           now_us - end->recorded_us > l->memory_us) {
         end_remove(l, g_queue_pop_head(&l->by_age));
     }
 }
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -49,7 +49,7 @@
     guint64 change_cursor; /* `changes` at its last change; 0: none */
     double published_rate;
     double credit;        /* sends that may be granted now */
-    gint64 filled_us;     /* when the credit was last refilled */
+    gint64 refilled_us;   /* when the credit was last refilled */
     guint outstanding;    /* of all grantees */
     GHashTable *grantees; /* name -> grantee_t */
     guint wanting;        /* grantees that want grants, as last counted */
@@ -102,7 +102,7 @@
 {
     if (!l->owned) {
         l->owned = TRUE;
-        l->filled_us = now_us;
+        l->refilled_us = now_us;
         l->credit = 1;
     }
 }
@@ -232,9 +232,9 @@
 credit_refill(limit_t *l, gint64 now_us)
 {
     double rate = MAX(GRANT_FRACTION * l->state.rate, LIMIT_SEND_RATE_MIN);
-    double seconds = (double)(now_us - l->filled_us) / G_USEC_PER_SEC;
+    double seconds = (double)(now_us - l->refilled_us) / G_USEC_PER_SEC;
     double room = MAX(credit_max(l) - l->outstanding, 0);
-    l->filled_us = now_us;
+    l->refilled_us = now_us;
     l->credit = MIN(l->credit + rate * seconds, room);
 }
 
--- a/policy/limit_retry.c
+++ b/policy/limit_retry.c
@@ -12,9 +12,9 @@
 limit_retry_ms(limit_retry_t *r, double rate, double draw, gint64 now_us)
 {
     double interval_ms = MIN(1000 / MAX(rate, 0.001), WAIT_MAX_MS);
-    gint64 first_us = now_us + (gint64)WAIT_MIN_MS * MS;
+    gint64 earliest_us = now_us + (gint64)WAIT_MIN_MS * MS;
     r->next_us =
-        MAX(r->next_us, first_us) + (gint64)(interval_ms * draw * 2 * MS);
+        MAX(r->next_us, earliest_us) + (gint64)(interval_ms * draw * 2 * MS);
     gint64 wait_ms = (r->next_us - now_us) / MS;
     if (wait_ms <= WAIT_MAX_MS) {
         return (gint)wait_ms;
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -19,12 +19,12 @@
 static void
 decay(limit_share_t *s, gint64 now_us)
 {
-    if (s->at_us == 0) {
-        s->at_us = now_us;
+    if (s->decayed_us == 0) {
+        s->decayed_us = now_us;
     }
-    double elapsed_s = (double)(now_us - s->at_us) / G_USEC_PER_SEC;
+    double elapsed_s = (double)(now_us - s->decayed_us) / G_USEC_PER_SEC;
     double decay_factor = exp(-elapsed_s / DECAY_S);
-    s->at_us = now_us;
+    s->decayed_us = now_us;
     s->span_s = s->span_s * decay_factor + DECAY_S * (1 - decay_factor);
     s->grants *= decay_factor;
     s->granted *= decay_factor;
--- a/policy/limits.c
+++ b/policy/limits.c
@@ -8,12 +8,13 @@
         return 0;
     }
     burst = MAX(burst, cost);
-    if (!bucket->started) {
-        *bucket = (bucket_t){.level = burst, .at_us = now_us, .started = TRUE};
+    if (!bucket->initialized) {
+        *bucket = (bucket_t){
+            .level = burst, .refilled_us = now_us, .initialized = TRUE};
     }
-    double earned = rate * (double)(now_us - bucket->at_us) / 1e6;
+    double earned = rate * (double)(now_us - bucket->refilled_us) / 1e6;
     bucket->level = MIN(burst, bucket->level + MAX(earned, 0));
-    bucket->at_us = MAX(bucket->at_us, now_us);
+    bucket->refilled_us = MAX(bucket->refilled_us, now_us);
     if (bucket->level >= cost) {
         bucket->level -= cost;
         return 0;
--- a/policy/run_history.c
+++ b/policy/run_history.c
@@ -9,7 +9,7 @@
 record(run_record_t *records, guint64 fingerprint, gint64 now_us)
 {
     records[fingerprint % RUN_HISTORY_SLOTS] =
-        (run_record_t){.fingerprint = fingerprint, .at_us = now_us};
+        (run_record_t){.fingerprint = fingerprint, .recorded_us = now_us};
 }
 
 void
@@ -31,7 +31,7 @@
 {
     const run_record_t *entry = &h->answered[fingerprint % RUN_HISTORY_SLOTS];
     return entry->fingerprint == fingerprint &&
-           now_us - entry->at_us < ANSWERED_TIMEOUT_US;
+           now_us - entry->recorded_us < ANSWERED_TIMEOUT_US;
 }
 
 gboolean
