--- a/include/carobloom/policy/run_history.h
+++ b/include/carobloom/policy/run_history.h
@@ -25,8 +25,8 @@
 /* Records that a request was cut off by the end of its endpoint. */
 void run_history_record_cut(run_history_t *history, guint64 fingerprint,
                             gint64 now_us);
-/* Returns whether the request was answered within the last 10 s, and so does
- * not crash every endpoint that runs it. */
+/* Returns whether the request was answered in the last few seconds, and so
+ * does not crash every endpoint that runs it. */
 gboolean run_history_is_answered(const run_history_t *history,
                                  guint64 fingerprint, gint64 now_us);
 /* Returns whether the request was cut off and not answered since, and removes
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -201,9 +201,9 @@
     }
 }
 
-/* Returns the number of sends to request. After a denied send it is at least
- * one until a grant arrives, so that the instance still counts as wanting
- * grants when the owner divides them. */
+/* Returns the number of sends to request. It is at least one for DENIED_US
+ * after a denied send, or until a grant arrives, so that the instance keeps
+ * its share when the owner divides grants. */
 static guint32
 grants_wanted(const endpoint_limit_t *l, gint64 now_us)
 {
