--- a/tests/test_limit_quota.c
+++ b/tests/test_limit_quota.c
@@ -1,5 +1,5 @@
-/* Limits that endpoints name, divided among entry instances: what one instance
- * makes of answers, and drawn histories of many of them with their owner. */
+/* Tests of endpoint limits: how one entry instance tracks a limit, and random
+ * histories of many entry instances with the limit's owner. */
 #include <stdlib.h>
 
 #include "carobloom/policy/collector.h"
@@ -12,104 +12,128 @@
 
 enum { MS = 1000, SECOND = 1000 * MS };
 
-/* ---- what an instance makes of what it hears ---- */
+/* ---- how an instance tracks a limit ---- */
 
-typedef enum { SAY_NAMED, SAY_ABSENT, SAY_TOLD, SAY_TOLD_LIFTED } say_kind_t;
+typedef enum {
+    RESPONSE_LIMITED,
+    RESPONSE_UNLIMITED,
+    OWNER_LIMITED,
+    OWNER_LIFTED
+} event_kind_t;
 
 typedef struct {
-    say_kind_t kind;
-    int sent_ms; /* of the answer's request */
+    event_kind_t kind;
+    int sent_ms; /* when the request of the response was sent */
     int at_ms;
     double rate;
-} say_t;
+} limit_event_t;
 
-enum { SAYS_MAX = 6 };
+enum { EVENTS_MAX = 6 };
 
 typedef struct {
     const char *name;
-    say_t says[SAYS_MAX];
+    limit_event_t events[EVENTS_MAX];
     guint count;
-    gboolean limited; /* after them */
+    gboolean limited; /* after the events */
     double rate;
-} word_case_t;
+} tracking_case_t;
 
-static const word_case_t WORD_CASES[] = {
-    {"first", {{SAY_NAMED, 10, 20, 4}}, 1, TRUE, 4},
-    {"raised", {{SAY_NAMED, 10, 20, 4}, {SAY_NAMED, 30, 40, 9}}, 2, TRUE, 9},
-    {"lowered", {{SAY_NAMED, 10, 20, 4}, {SAY_NAMED, 30, 40, 0}}, 2, TRUE, 0},
+static const tracking_case_t TRACKING_CASES[] = {
+    {"first", {{RESPONSE_LIMITED, 10, 20, 4}}, 1, TRUE, 4},
+    {"raised",
+     {{RESPONSE_LIMITED, 10, 20, 4}, {RESPONSE_LIMITED, 30, 40, 9}},
+     2,
+     TRUE,
+     9},
+    {"lowered",
+     {{RESPONSE_LIMITED, 10, 20, 4}, {RESPONSE_LIMITED, 30, 40, 0}},
+     2,
+     TRUE,
+     0},
     {"an answer to an older request",
-     {{SAY_NAMED, 30, 40, 4}, {SAY_NAMED, 10, 50, 9}},
+     {{RESPONSE_LIMITED, 30, 40, 4}, {RESPONSE_LIMITED, 10, 50, 9}},
      2,
      TRUE,
      4},
-    {"lifted", {{SAY_NAMED, 10, 20, 4}, {SAY_ABSENT, 30, 40, 0}}, 2, FALSE, 4},
+    {"lifted",
+     {{RESPONSE_LIMITED, 10, 20, 4}, {RESPONSE_UNLIMITED, 30, 40, 0}},
+     2,
+     FALSE,
+     4},
     {"not lifted by an answer to an older request",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_ABSENT, 15, 40, 0}},
+     {{RESPONSE_LIMITED, 10, 20, 4}, {RESPONSE_UNLIMITED, 15, 40, 0}},
      2,
      TRUE,
      4},
     {"not limited anew by an answer to an older request",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_ABSENT, 30, 40, 0}, {SAY_NAMED, 15, 60, 4}},
+     {{RESPONSE_LIMITED, 10, 20, 4},
+      {RESPONSE_UNLIMITED, 30, 40, 0},
+      {RESPONSE_LIMITED, 15, 60, 4}},
      3,
      FALSE,
      4},
     {"limited again",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_ABSENT, 30, 40, 0}, {SAY_NAMED, 45, 60, 2}},
+     {{RESPONSE_LIMITED, 10, 20, 4},
+      {RESPONSE_UNLIMITED, 30, 40, 0},
+      {RESPONSE_LIMITED, 45, 60, 2}},
      3,
      TRUE,
      2},
-    {"told", {{SAY_TOLD, 0, 20, 4}}, 1, TRUE, 4},
+    {"told", {{OWNER_LIMITED, 0, 20, 4}}, 1, TRUE, 4},
     {"told, and not lifted by an answer to an older request",
-     {{SAY_TOLD, 0, 20, 4}, {SAY_ABSENT, 10, 30, 0}},
+     {{OWNER_LIMITED, 0, 20, 4}, {RESPONSE_UNLIMITED, 10, 30, 0}},
      2,
      TRUE,
      4},
     {"told, and lifted by an answer",
-     {{SAY_TOLD, 0, 20, 4}, {SAY_ABSENT, 30, 40, 0}},
+     {{OWNER_LIMITED, 0, 20, 4}, {RESPONSE_UNLIMITED, 30, 40, 0}},
      2,
      FALSE,
      4},
     {"told that it is lifted",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_TOLD_LIFTED, 0, 1000, 0}},
+     {{RESPONSE_LIMITED, 10, 20, 4}, {OWNER_LIFTED, 0, 1000, 0}},
      2,
      FALSE,
      4},
     {"what is told does not undo what an answer just said",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_TOLD_LIFTED, 0, 100, 0}},
+     {{RESPONSE_LIMITED, 10, 20, 4}, {OWNER_LIFTED, 0, 100, 0}},
      2,
      TRUE,
      4},
     {"nor does it limit again what an answer just lifted",
-     {{SAY_NAMED, 10, 20, 4}, {SAY_ABSENT, 30, 40, 0}, {SAY_TOLD, 0, 90, 4}},
+     {{RESPONSE_LIMITED, 10, 20, 4},
+      {RESPONSE_UNLIMITED, 30, 40, 0},
+      {OWNER_LIMITED, 0, 90, 4}},
      3,
      FALSE,
      4},
 };
 
 static limit_change_t
-say(endpoint_limit_t *l, const say_t *s)
+apply_event(endpoint_limit_t *l, const limit_event_t *s)
 {
-    limit_state_t state = {.limited = s->kind == SAY_TOLD, .rate = s->rate};
+    limit_state_t state = {.limited = s->kind == OWNER_LIMITED,
+                           .rate = s->rate};
     switch (s->kind) {
-    case SAY_NAMED:
+    case RESPONSE_LIMITED:
         return endpoint_limit_record_rate(l, s->rate, (gint64)s->sent_ms * MS,
                                           (gint64)s->at_ms * MS);
-    case SAY_ABSENT:
+    case RESPONSE_UNLIMITED:
         return endpoint_limit_record_unlimited(l, (gint64)s->sent_ms * MS);
     default:
-        l->update_due = FALSE; /* the owner was told */
+        l->update_due = FALSE; /* the owner has the update */
         return endpoint_limit_apply_state(l, &state, (gint64)s->at_ms * MS);
     }
 }
 
 static void
-test_words(void)
+test_tracking(void)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(WORD_CASES); i++) {
-        const word_case_t *c = &WORD_CASES[i];
+    for (gsize i = 0; i < G_N_ELEMENTS(TRACKING_CASES); i++) {
+        const tracking_case_t *c = &TRACKING_CASES[i];
         endpoint_limit_t l = {0};
         for (guint k = 0; k < c->count; k++) {
-            say(&l, &c->says[k]);
+            apply_event(&l, &c->events[k]);
         }
         if (l.limited != c->limited || l.rate != c->rate) {
             printf("%s: limited %d, rate %.1f\n", c->name, l.limited, l.rate);
@@ -124,80 +148,80 @@
 
 enum {
     STEP_US = 10 * MS,
-    ENTRIES_MOST = 985,
-    WIRE_MOST = 4,        /* asks of one instance on their way */
-    ANSWER_US = 400 * MS, /* as the instance waits for one */
-    ASK_US = 100 * MS,    /* between two asks at least */
+    ENTRIES_MAX = 985,
+    EXCHANGES_MAX = 4,           /* grant requests in transit, per instance */
+    REPLY_TIMEOUT_US = 400 * MS, /* timeout of a grant request */
+    REQUEST_INTERVAL_US = 100 * MS, /* minimum between two grant requests */
     RETRY_US = 200 * MS,
     FAILURES = 2,
-    ANSWERS_MOST = 64, /* of the endpoint, on their way to one instance */
-    TOLD_US = 500 * MS,
+    RESPONSES_MAX = 64, /* of the endpoint, in transit to one instance */
+    LEARN_GRACE_US = 500 * MS,
     STABLE_US = 3 * SECOND,
     WINDOW_US = 4 * SECOND,
     LIFTED_US = 3 * SECOND,
-    DEMAND_EACH = 10, /* requests a second at each instance, at least */
+    DEMAND_EACH = 10, /* minimum requests per second at each instance */
 };
 
-/* An answer of the endpoint on its way. */
+/* A response of the endpoint in transit. */
 typedef struct {
     gint64 due_us; /* 0: none */
     gint64 sent_us;
     gboolean limited;
     double rate;
-} reply_t;
+} response_t;
 
-/* An ask on its way to the owner, or its answer on its way back. */
+/* A grant request in transit to the owner, or the reply in transit back. */
 typedef struct {
-    gint64 arrives_us;  /* 0: none */
-    gint64 answered_us; /* 0: not yet */
-    gint64 lost;        /* its answer does not arrive */
-    limit_requester_t asker;
-    limit_request_t ask;
+    gint64 arrives_us; /* 0: none */
+    gint64 replied_us; /* 0: not yet */
+    gint64 lost;       /* the reply does not arrive */
+    limit_requester_t requester;
+    limit_request_t request;
     limit_grant_t grant;
-} ask_t;
+} exchange_t;
 
 typedef struct {
     char name[16];
     endpoint_limit_t limit;
     guint64 incarnation;
     guint64 sequence;
-    gint64 offset_us; /* of its clock */
+    gint64 offset_us; /* of its clock from simulated time */
     double drift;
-    gint64 silent_until_us; /* frozen */
-    gint64 cut_until_us;    /* from its owner */
-    gint64 excused_until_us;
-    gint64 told_us; /* when an answer first told it of the limit; 0: none */
-    ask_t asks[WIRE_MOST];
-    int waits_for; /* of asks; -1: none */
-    gint64 asked_us;
-    gint64 next_ask_us;
-    gint64 wants_us;
+    gint64 frozen_until_us;
+    gint64 partitioned_until_us; /* from the owner */
+    gint64 exempt_until_us;
+    gint64 learned_us; /* when a response first carried the limit; 0: never */
+    exchange_t exchanges[EXCHANGES_MAX];
+    int pending; /* index of the awaited exchange; -1: none */
+    gint64 requested_us;
+    gint64 next_request_us;
+    gint64 next_grant_request_us;
     guint failures;
-    reply_t replies[ANSWERS_MOST];
+    response_t responses[RESPONSES_MAX];
     guint64 cursor; /* of the owner's changes */
     guint64 relay_cursor;
     limit_share_t share;
 } sim_entry_t;
 
-/* Ranks of the urgent requests and of the rest. */
+/* Ranks of urgent requests and of all others. */
 enum { URGENT_RANK = 0, REST_RANK = 5 };
 
 typedef struct {
     guint64 sent;
-    guint64 kept_away;
+    guint64 denied;
 } outcome_t;
 
 typedef struct {
     const char *name;
     guint entries;
-    double rate;   /* that the endpoint names */
-    double demand; /* requests a second, of all */
+    double rate;   /* that the endpoint announces */
+    double demand; /* requests per second, of all instances */
     gboolean faults;
-    gboolean changes; /* the rate changes on the way */
-    int lift_ms;      /* 0: it stays */
+    gboolean changes; /* the rate changes during the run */
+    int lift_ms;      /* when the limit is lifted; 0: never */
     int length_ms;
-    gboolean used; /* two thirds of the limit are, at the end */
-    double urgent; /* of the demand, the part that is */
+    gboolean used; /* two thirds of the limit must be used at the end */
+    double urgent; /* fraction of the demand */
 } history_t;
 
 typedef struct {
@@ -205,23 +229,23 @@
     GRand *random;
     sim_entry_t *entries;
     limit_quota_t *quota; /* NULL: the owner is down */
-    limit_quota_t *relay; /* tells all while the owner is silent */
+    limit_quota_t *relay; /* publishes reports while the owner is lost */
     gint64 owner_back_us;
-    gint64 owner_silent_us; /* it is frozen until then */
+    gint64 owner_frozen_until_us;
     gint64 owner_offset_us;
     gint64 now_us;
-    gint64 named_us;
-    double rate;      /* that the endpoint names now; -1: none */
-    double rate_most; /* of the last window */
-    gint64 rate_us;   /* when it changed */
-    GArray *sends;    /* gint64, those that count */
-    guint64 all;      /* sends */
-    outcome_t urgent; /* of requests once the limit holds */
+    gint64 announced_us;
+    double rate;            /* that the endpoint announces now; -1: none */
+    double rate_max;        /* highest of the last window */
+    gint64 rate_changed_us; /* time of the last rate change */
+    GArray *sends;          /* gint64, times of the sends that count */
+    guint64 all;            /* sends */
+    outcome_t urgent;       /* of requests since the limit applies */
     outcome_t rest;
-    guint64 asks;
-    guint most; /* in a window */
-    double allowed_at_most;
-    gboolean broken;
+    guint64 grant_requests;
+    guint window_max; /* most sends within WINDOW_US */
+    double allowed_max;
+    gboolean exceeded;
 } sim_t;
 
 static const guint64 ENDPOINT = 77;
@@ -239,9 +263,9 @@
 }
 
 static gint64
-between_ms(sim_t *s, int least, int most)
+random_ms(sim_t *s, int min, int max)
 {
-    return (gint64)g_rand_int_range(s->random, least, most) * MS;
+    return (gint64)g_rand_int_range(s->random, min, max) * MS;
 }
 
 static void
@@ -250,29 +274,31 @@
     e->limit = (endpoint_limit_t){0};
     e->incarnation++;
     e->sequence = 0;
-    e->told_us = 0;
-    e->waits_for = -1;
-    e->next_ask_us = 0;
-    e->wants_us = 0;
+    e->learned_us = 0;
+    e->pending = -1;
+    e->next_request_us = 0;
+    e->next_grant_request_us = 0;
     e->failures = 0;
     e->cursor = 0;
     e->relay_cursor = 0;
-    for (guint i = 0; i < ANSWERS_MOST; i++) {
-        e->replies[i].due_us = 0;
+    for (guint i = 0; i < RESPONSES_MAX; i++) {
+        e->responses[i].due_us = 0;
     }
-    for (guint i = 0; i < WIRE_MOST; i++) {
-        e->asks[i].lost = 1;
+    for (guint i = 0; i < EXCHANGES_MAX; i++) {
+        e->exchanges[i].lost = 1;
     }
     (void)s;
 }
 
-/* Counts a send as the rule does. */
+/* Counts a send against the bound. Sends don't count in the grace period after
+ * an instance first learns of the limit, and after it was frozen. */
 static void
 count_send(sim_t *s, const sim_entry_t *e)
 {
     s->all++;
-    gboolean counts = e->told_us != 0 && s->now_us - e->told_us >= TOLD_US &&
-                      s->now_us >= e->excused_until_us;
+    gboolean counts = e->learned_us != 0 &&
+                      s->now_us - e->learned_us >= LEARN_GRACE_US &&
+                      s->now_us >= e->exempt_until_us;
     if (!counts || s->rate < 0) {
         return;
     }
@@ -285,15 +311,15 @@
         }
         recent++;
     }
-    double allowed = 1.5 * s->rate_most * WINDOW_US / SECOND + 5;
-    if (s->now_us - s->named_us >= STABLE_US) {
-        s->most = MAX(s->most, recent);
-        s->broken = s->broken || recent > allowed;
-        s->allowed_at_most = MAX(s->allowed_at_most, allowed);
+    double allowed = 1.5 * s->rate_max * WINDOW_US / SECOND + 5;
+    if (s->now_us - s->announced_us >= STABLE_US) {
+        s->window_max = MAX(s->window_max, recent);
+        s->exceeded = s->exceeded || recent > allowed;
+        s->allowed_max = MAX(s->allowed_max, allowed);
     }
 }
 
-/* Whether a request is sent. */
+/* Returns whether a request is sent. */
 static gboolean
 entry_admits(const sim_t *s, sim_entry_t *e, guint rank)
 {
@@ -302,8 +328,8 @@
     if (!l->limited) {
         return TRUE;
     }
-    gboolean held = l->tokens > 0 && now < l->tokens_expire_us;
-    limit_tokens_t tokens = {.count = held ? l->tokens : 0,
+    gboolean available = l->tokens > 0 && now < l->tokens_expire_us;
+    limit_tokens_t tokens = {.count = available ? l->tokens : 0,
                              .left_us = l->tokens_expire_us - now};
     gboolean yields = limit_share_yields(&e->share, rank, &tokens, now);
     limit_share_record_wanted(&e->share, rank, now);
@@ -314,9 +340,9 @@
 count_outcome(sim_t *s, guint rank, gboolean sent)
 {
     outcome_t *o = rank == URGENT_RANK ? &s->urgent : &s->rest;
-    if (s->named_us != 0 && s->now_us - s->named_us >= STABLE_US) {
+    if (s->announced_us != 0 && s->now_us - s->announced_us >= STABLE_US) {
         o->sent += sent;
-        o->kept_away += !sent;
+        o->denied += !sent;
     }
 }
 
@@ -333,15 +359,15 @@
     }
     endpoint_limit_record_send(&e->limit, s->history->entries, clock_of(s, e));
     count_send(s, e);
-    for (guint i = 0; i < ANSWERS_MOST; i++) {
-        reply_t *r = &e->replies[i];
+    for (guint i = 0; i < RESPONSES_MAX; i++) {
+        response_t *r = &e->responses[i];
         if (r->due_us == 0) {
             gboolean late = s->history->faults && chance(s, 0.05);
             gint64 takes_us =
-                late ? between_ms(s, 500, 3000) : between_ms(s, 20, 200);
-            *r = (reply_t){.due_us = s->now_us + takes_us,
-                           .sent_us = clock_of(s, e)};
-            /* It says what holds as the answer begins, or the request came. */
+                late ? random_ms(s, 500, 3000) : random_ms(s, 20, 200);
+            *r = (response_t){.due_us = s->now_us + takes_us,
+                              .sent_us = clock_of(s, e)};
+            /* The response carries the limit as of its request's arrival. */
             r->limited = s->rate >= 0;
             r->rate = s->rate;
             return;
@@ -350,10 +376,10 @@
 }
 
 static void
-entry_hear(sim_t *s, sim_entry_t *e)
+entry_receive(sim_t *s, sim_entry_t *e)
 {
-    for (guint i = 0; i < ANSWERS_MOST; i++) {
-        reply_t *r = &e->replies[i];
+    for (guint i = 0; i < RESPONSES_MAX; i++) {
+        response_t *r = &e->responses[i];
         if (r->due_us == 0 || r->due_us > s->now_us) {
             continue;
         }
@@ -364,26 +390,26 @@
         }
         endpoint_limit_record_rate(&e->limit, r->rate, r->sent_us,
                                    clock_of(s, e));
-        if (e->told_us == 0) {
-            e->told_us = s->now_us;
+        if (e->learned_us == 0) {
+            e->learned_us = s->now_us;
         }
     }
 }
 
 static gboolean
-owner_answers(const sim_t *s, const sim_entry_t *e)
+owner_reachable(const sim_t *s, const sim_entry_t *e)
 {
-    return s->quota != NULL && s->now_us >= s->owner_silent_us &&
-           s->now_us >= e->cut_until_us;
+    return s->quota != NULL && s->now_us >= s->owner_frozen_until_us &&
+           s->now_us >= e->partitioned_until_us;
 }
 
 static void
 entry_failed(sim_t *s, sim_entry_t *e)
 {
-    e->waits_for = -1;
+    e->pending = -1;
     e->limit.update_due = TRUE;
     e->failures++;
-    e->next_ask_us = s->now_us + RETRY_US;
+    e->next_request_us = s->now_us + RETRY_US;
     if (e->failures >= FAILURES) {
         endpoint_limit_owner_lost(&e->limit, s->history->entries,
                                   g_rand_double(s->random), clock_of(s, e));
@@ -391,86 +417,89 @@
 }
 
 static void
-entry_ask(sim_t *s, sim_entry_t *e)
+entry_request_grants(sim_t *s, sim_entry_t *e)
 {
     endpoint_limit_expire(&e->limit, clock_of(s, e));
-    gboolean wants = s->now_us >= e->wants_us &&
+    gboolean wants = s->now_us >= e->next_grant_request_us &&
                      endpoint_limit_needs_grants(&e->limit, clock_of(s, e));
-    if (e->waits_for >= 0 || s->now_us < e->next_ask_us ||
+    if (e->pending >= 0 || s->now_us < e->next_request_us ||
         (!endpoint_limit_has_update(&e->limit) && !wants)) {
         return;
     }
-    for (int i = 0; i < WIRE_MOST; i++) {
-        ask_t *a = &e->asks[i];
+    for (int i = 0; i < EXCHANGES_MAX; i++) {
+        exchange_t *a = &e->exchanges[i];
         if (a->arrives_us != 0) {
             continue;
         }
-        *a = (ask_t){.arrives_us = s->now_us + between_ms(s, 1, 20)};
+        *a = (exchange_t){.arrives_us = s->now_us + random_ms(s, 1, 20)};
         if (s->history->faults && chance(s, 0.03)) {
-            a->arrives_us += between_ms(s, 100, 1500);
+            a->arrives_us += random_ms(s, 100, 1500);
         }
-        a->asker = (limit_requester_t){.name = e->name,
-                                       .incarnation = e->incarnation,
-                                       .sequence = ++e->sequence};
-        a->ask.endpoint = ENDPOINT;
+        a->requester = (limit_requester_t){.name = e->name,
+                                           .incarnation = e->incarnation,
+                                           .sequence = ++e->sequence};
+        a->request.endpoint = ENDPOINT;
         a->lost = s->history->faults && chance(s, 0.03);
-        endpoint_limit_fill_request(&e->limit, &a->ask, clock_of(s, e));
-        e->waits_for = i;
-        e->asked_us = s->now_us;
-        s->asks++;
+        endpoint_limit_fill_request(&e->limit, &a->request, clock_of(s, e));
+        e->pending = i;
+        e->requested_us = s->now_us;
+        s->grant_requests++;
         return;
     }
 }
 
-/* What arrives at the owner, and back. */
+/* Delivers grant requests to the owner, and its replies. */
 static void
-carry_asks(sim_t *s, sim_entry_t *e)
+deliver_exchanges(sim_t *s, sim_entry_t *e)
 {
-    for (int i = 0; i < WIRE_MOST; i++) {
-        ask_t *a = &e->asks[i];
+    for (int i = 0; i < EXCHANGES_MAX; i++) {
+        exchange_t *a = &e->exchanges[i];
         if (a->arrives_us == 0 || a->arrives_us > s->now_us) {
             continue;
         }
-        if (a->answered_us == 0) {
+        if (a->replied_us == 0) {
             if (s->quota == NULL) {
                 a->arrives_us = 0;
                 continue;
             }
-            if (!owner_answers(s, e)) {
-                continue; /* it waits until the owner, or the way, is back */
+            if (!owner_reachable(s, e)) {
+                continue; /* in transit until the owner is reachable again */
             }
-            a->grant = limit_quota_request(s->quota, &a->asker, &a->ask,
-                                           s->now_us + s->owner_offset_us);
-            a->answered_us = s->now_us + between_ms(s, 1, 20);
+            a->grant =
+                limit_quota_request(s->quota, &a->requester, &a->request,
+                                    s->now_us + s->owner_offset_us);
+            a->replied_us = s->now_us + random_ms(s, 1, 20);
             continue;
         }
-        if (a->answered_us > s->now_us) {
+        if (a->replied_us > s->now_us) {
             continue;
         }
         a->arrives_us = 0;
-        if (i == e->waits_for && !a->lost) {
+        if (i == e->pending && !a->lost) {
             endpoint_limit_apply_grant(
                 &e->limit, &a->grant,
-                e->offset_us + (gint64)((double)e->asked_us * (1 + e->drift)),
+                e->offset_us +
+                    (gint64)((double)e->requested_us * (1 + e->drift)),
                 clock_of(s, e));
             limit_share_record_granted(&e->share, a->grant.granted,
                                        clock_of(s, e));
-            e->waits_for = -1;
+            e->pending = -1;
             e->failures = 0;
-            e->next_ask_us = e->asked_us + ASK_US + between_ms(s, 0, 30);
-            e->wants_us =
-                e->asked_us +
+            e->next_request_us =
+                e->requested_us + REQUEST_INTERVAL_US + random_ms(s, 0, 30);
+            e->next_grant_request_us =
+                e->requested_us +
                 (gint64)collector_report_interval_ms(s->history->entries) * MS;
         }
     }
-    if (e->waits_for >= 0 && s->now_us - e->asked_us > ANSWER_US) {
+    if (e->pending >= 0 && s->now_us - e->requested_us > REPLY_TIMEOUT_US) {
         entry_failed(s, e);
     }
 }
 
 static void
-tell_since(const sim_t *s, sim_entry_t *e, const limit_quota_t *quota,
-           guint64 *cursor)
+publish_since(const sim_t *s, sim_entry_t *e, const limit_quota_t *quota,
+              guint64 *cursor)
 {
     GArray *states = limit_quota_changes_since(quota, cursor, 16);
     for (guint i = 0; i < states->len; i++) {
@@ -482,14 +511,14 @@
 }
 
 static void
-tell_changes(sim_t *s, sim_entry_t *e)
+publish_changes(sim_t *s, sim_entry_t *e)
 {
-    if (owner_answers(s, e) && e->cursor != limit_quota_cursor(s->quota) &&
+    if (owner_reachable(s, e) && e->cursor != limit_quota_cursor(s->quota) &&
         chance(s, 0.2)) {
-        tell_since(s, e, s->quota, &e->cursor);
+        publish_since(s, e, s->quota, &e->cursor);
     }
     if (e->relay_cursor != limit_quota_cursor(s->relay) && chance(s, 0.2)) {
-        tell_since(s, e, s->relay, &e->relay_cursor);
+        publish_since(s, e, s->relay, &e->relay_cursor);
     }
 }
 
@@ -517,21 +546,21 @@
     sim_entry_t *e =
         &s->entries[g_rand_int_range(s->random, 0, (gint)s->history->entries)];
     if (chance(s, 0.002)) {
-        e->silent_until_us = s->now_us + between_ms(s, 200, 4000);
-        e->excused_until_us = e->silent_until_us + STABLE_US;
+        e->frozen_until_us = s->now_us + random_ms(s, 200, 4000);
+        e->exempt_until_us = e->frozen_until_us + STABLE_US;
     }
     if (chance(s, 0.002)) {
-        e->cut_until_us = s->now_us + between_ms(s, 200, 4000);
+        e->partitioned_until_us = s->now_us + random_ms(s, 200, 4000);
     }
     if (chance(s, 0.002)) {
         entry_start(s, e);
     }
     if (chance(s, 0.001)) {
-        s->owner_silent_us = s->now_us + between_ms(s, 200, 3000);
+        s->owner_frozen_until_us = s->now_us + random_ms(s, 200, 3000);
     }
     if (s->quota != NULL && chance(s, 0.001)) {
         g_clear_pointer(&s->quota, limit_quota_destroy);
-        s->owner_back_us = s->now_us + between_ms(s, 200, 3000);
+        s->owner_back_us = s->now_us + random_ms(s, 200, 3000);
     }
 }
 
@@ -556,17 +585,17 @@
     const history_t *h = s->history;
     if (s->now_us == SECOND) {
         s->rate = h->rate;
-        s->rate_most = h->rate;
-        s->named_us = s->now_us;
+        s->rate_max = h->rate;
+        s->announced_us = s->now_us;
     }
     if (h->changes && s->now_us > 2 * SECOND && chance(s, 0.003)) {
         s->rate = h->rate * (0.2 + g_rand_double(s->random) * 2);
-        s->rate_most = MAX(s->rate_most, s->rate);
-        s->rate_us = s->now_us;
+        s->rate_max = MAX(s->rate_max, s->rate);
+        s->rate_changed_us = s->now_us;
     }
-    /* What was granted by a higher rate is used up, and the lower one told. */
-    if (s->now_us - s->rate_us > STABLE_US + WINDOW_US) {
-        s->rate_most = MAX(s->rate, 0);
+    /* Grants at a higher rate are used up and the lower rate is published. */
+    if (s->now_us - s->rate_changed_us > STABLE_US + WINDOW_US) {
+        s->rate_max = MAX(s->rate, 0);
     }
     if (h->lift_ms != 0 && s->now_us == (gint64)h->lift_ms * MS) {
         s->rate = -1;
@@ -576,12 +605,12 @@
 static void
 entry_step(sim_t *s, sim_entry_t *e)
 {
-    if (s->now_us < e->silent_until_us) {
+    if (s->now_us < e->frozen_until_us) {
         return;
     }
-    entry_hear(s, e);
-    carry_asks(s, e);
-    tell_changes(s, e);
+    entry_receive(s, e);
+    deliver_exchanges(s, e);
+    publish_changes(s, e);
     relay_report(s, e);
     double each = s->history->demand / s->history->entries;
     for (double due = each * STEP_US / SECOND; due > 0; due--) {
@@ -589,7 +618,7 @@
             entry_send(s, e);
         }
     }
-    entry_ask(s, e);
+    entry_request_grants(s, e);
 }
 
 static void
@@ -621,27 +650,29 @@
     g_rand_free(s->random);
 }
 
-/* Whether all that reach the owner may send as they like again. */
+/* Returns whether the limit is lifted at all instances that reach the owner.
+ */
 static gboolean
 all_lifted(const sim_t *s)
 {
     for (guint i = 0; i < s->history->entries; i++) {
         const sim_entry_t *e = &s->entries[i];
-        if (e->limit.limited && s->now_us >= e->silent_until_us &&
-            owner_answers(s, e)) {
+        if (e->limit.limited && s->now_us >= e->frozen_until_us &&
+            owner_reachable(s, e)) {
             return FALSE;
         }
     }
     return TRUE;
 }
 
-/* Plays it; returns whether what it has to keep was kept. */
+/* Runs a history. Returns TRUE if the bound was kept, the limit was used and
+ * lifted as expected, and the number of grant requests stayed low. */
 static gboolean
-play(const history_t *h, guint32 seed)
+run_history_case(const history_t *h, guint32 seed)
 {
     sim_t s;
     gint64 length_us = (gint64)h->length_ms * MS;
-    guint64 before = 0;
+    guint64 sent_before = 0;
     gboolean lifted = TRUE;
     sim_begin(&s, h, seed);
     for (s.now_us = STEP_US; s.now_us <= length_us; s.now_us += STEP_US) {
@@ -652,28 +683,28 @@
             entry_step(&s, &s.entries[i]);
         }
         if (s.now_us == length_us - WINDOW_US) {
-            before = s.all;
+            sent_before = s.all;
         }
         if (h->lift_ms != 0 &&
             s.now_us == (gint64)h->lift_ms * MS + LIFTED_US) {
             lifted = all_lifted(&s);
         }
     }
-    double sent = (double)(s.all - before);
+    double sent = (double)(s.all - sent_before);
     double due = MIN(h->rate, h->demand) * WINDOW_US / SECOND;
-    /* Each instance asks so often at most; what is granted is told besides. */
+    /* Maximum rate of grant requests per instance; used grants add updates. */
     double each = 1000.0 / collector_report_interval_ms(h->entries);
-    double asks_most =
+    double requests_max =
         (h->entries * each + 2 * h->rate) * h->length_ms / 1000 + h->entries;
-    gboolean cheap = h->faults || (double)s.asks <= asks_most;
+    gboolean cheap = h->faults || (double)s.grant_requests <= requests_max;
     gboolean used = !h->used || sent * 3 >= due * 2 - 3;
-    if (s.broken || !used || !lifted || !cheap) {
+    if (s.exceeded || !used || !lifted || !cheap) {
         printf("%s, seed %u: %u in 4 s of %.0f; the last 4 s %.0f of %.0f; "
                "lifted %d; %d asks of %.0f\n",
-               h->name, seed, s.most, s.allowed_at_most, sent, due, lifted,
-               (int)s.asks, asks_most);
+               h->name, seed, s.window_max, s.allowed_max, sent, due, lifted,
+               (int)s.grant_requests, requests_max);
     }
-    gboolean kept = !s.broken && used && lifted && cheap;
+    gboolean kept = !s.exceeded && used && lifted && cheap;
     sim_end(&s);
     return kept;
 }
@@ -686,7 +717,7 @@
 }
 
 static void
-play_drawn(const history_t *kind, guint count)
+run_random_histories(const history_t *kind, guint count)
 {
     static const guint ENTRIES[] = {1, 2, 3, 6, 8, 12};
     static const double RATES[] = {0, 0.4, 1.2, 2, 4, 20, 100};
@@ -696,16 +727,16 @@
         h.entries = ENTRIES[seed % G_N_ELEMENTS(ENTRIES)];
         h.rate = RATES[seed / 7 % G_N_ELEMENTS(RATES)];
         h.demand = MAX(h.rate * 4, h.entries * (double)DEMAND_EACH);
-        failed += !play(&h, seed);
+        failed += !run_history_case(&h, seed);
     }
     CU_ASSERT_EQUAL(failed, 0);
 }
 
-/* As many instances as there may be, one endpoint, no fault. */
+/* Up to the maximum number of instances, one endpoint, no faults. */
 static void
 test_sizes(void)
 {
-    static const guint ENTRIES[] = {1, 6, 300, ENTRIES_MOST};
+    static const guint ENTRIES[] = {1, 6, 300, ENTRIES_MAX};
     static const double RATES[] = {0.4, 2, 4, 100};
     for (gsize i = 0; i < G_N_ELEMENTS(ENTRIES); i++) {
         for (gsize k = 0; k < G_N_ELEMENTS(RATES); k++) {
@@ -715,7 +746,7 @@
                            .demand = MAX(RATES[k] * 4, ENTRIES[i] * 0.8),
                            .length_ms = 14000,
                            .used = TRUE};
-            CU_ASSERT(play(&h, 1));
+            CU_ASSERT(run_history_case(&h, 1));
         }
     }
 }
@@ -724,14 +755,14 @@
 test_calm(void)
 {
     history_t h = {.name = "calm", .length_ms = 10000, .used = TRUE};
-    play_drawn(&h, histories());
+    run_random_histories(&h, histories());
 }
 
 static void
 test_faults(void)
 {
     history_t h = {.name = "faults", .faults = TRUE, .length_ms = 16000};
-    play_drawn(&h, histories());
+    run_random_histories(&h, histories());
 }
 
 static void
@@ -741,22 +772,22 @@
                    .faults = TRUE,
                    .changes = TRUE,
                    .length_ms = 16000};
-    play_drawn(&h, histories());
+    run_random_histories(&h, histories());
 }
 
 static void
 test_lifted(void)
 {
     history_t h = {.name = "lifted", .lift_ms = 8000, .length_ms = 12000};
-    play_drawn(&h, histories());
+    run_random_histories(&h, histories());
 }
 
-/* Instances that want as much as they get are granted alike. */
+/* Instances with equal demand get equal grants. */
 static void
-test_shares_alike(void)
+test_equal_shares(void)
 {
     enum { ENTRIES = 6, SECONDS = 60 };
-    guint64 got[ENTRIES] = {0};
+    guint64 used[ENTRIES] = {0};
     sim_t s;
     history_t h = {
         .name = "alike", .entries = ENTRIES, .rate = 4, .demand = 60};
@@ -767,21 +798,22 @@
         owner_step(&s);
         for (guint i = 0; i < ENTRIES; i++) {
             entry_step(&s, &s.entries[i]);
-            got[i] = s.entries[i].limit.used;
+            used[i] = s.entries[i].limit.used;
         }
     }
     for (guint i = 0; i < ENTRIES; i++) {
-        CU_ASSERT(got[i] * 2 * ENTRIES >= (guint64)(h.rate * SECONDS));
+        CU_ASSERT(used[i] * 2 * ENTRIES >= (guint64)(h.rate * SECONDS));
     }
     sim_end(&s);
 }
 
-/* ---- what is granted goes to the urgent first ---- */
+/* ---- urgent requests get granted sends first ---- */
 
-/* What an instance sees each second, for so long that it knows. */
+/* Grants and demand that an instance sees each second, repeated until its
+ * estimates settle. */
 typedef struct {
     const char *name;
-    guint granted; /* sends a second, each by itself */
+    guint granted; /* sends per second, one per grant */
     guint wanted[LIMIT_RANKS];
     limit_tokens_t tokens;
     guint rank;
@@ -810,7 +842,7 @@
 };
 
 static void
-note_second(limit_share_t *share, const share_case_t *c, gint64 from_us)
+record_second(limit_share_t *share, const share_case_t *c, gint64 from_us)
 {
     enum { STEPS = 100 };
     for (guint step = 0; step < STEPS; step++) {
@@ -827,14 +859,14 @@
 }
 
 static void
-test_leaves_to_urgent(void)
+test_reserve_for_urgent(void)
 {
-    enum { SECONDS = 10, LONG_AFTER = 20 };
+    enum { SECONDS = 10, STALE_S = 20 };
     for (gsize i = 0; i < G_N_ELEMENTS(SHARE_CASES); i++) {
         const share_case_t *c = &SHARE_CASES[i];
         limit_share_t share = {0};
         for (guint k = 1; k <= SECONDS; k++) {
-            note_second(&share, c, k * SECOND);
+            record_second(&share, c, k * SECOND);
         }
         gboolean yields = limit_share_yields(&share, c->rank, &c->tokens,
                                              (SECONDS + 1) * SECOND);
@@ -842,41 +874,41 @@
             printf("%s: yields %d\n", c->name, yields);
         }
         CU_ASSERT_EQUAL(yields, c->yields);
-        CU_ASSERT_FALSE(limit_share_yields(&share, c->rank, &c->tokens,
-                                           LONG_AFTER * SECOND));
+        CU_ASSERT_FALSE(
+            limit_share_yields(&share, c->rank, &c->tokens, STALE_S * SECOND));
     }
 }
 
-/* Requests want four times the limit, of which the urgent ones want `urgent`
+/* The demand is four times the limit; that of urgent requests is `urgent`
  * times the limit. */
 typedef struct {
     guint entries;
     double rate;
     double urgent;
-    double served_least; /* part of the urgent ones that are sent */
-    double rest_most;    /* part of all sends that others are */
+    double served_min; /* fraction of urgent requests that are sent */
+    double rest_max;   /* fraction of the sends that aren't urgent */
 } urgent_case_t;
 
 static const urgent_case_t URGENT_CASES[] = {
-    /* The urgent alone want more than there is. */
-    {.entries = 1, .rate = 3, .urgent = 2, .rest_most = 0.1},
-    {.entries = 6, .rate = 12, .urgent = 2, .rest_most = 0.1},
-    {.entries = 6, .rate = 100, .urgent = 2, .rest_most = 0.1},
-    {.entries = 60, .rate = 100, .urgent = 2, .rest_most = 0.1},
-    /* They want less. */
+    /* Urgent requests alone exceed the limit. */
+    {.entries = 1, .rate = 3, .urgent = 2, .rest_max = 0.1},
+    {.entries = 6, .rate = 12, .urgent = 2, .rest_max = 0.1},
+    {.entries = 6, .rate = 100, .urgent = 2, .rest_max = 0.1},
+    {.entries = 60, .rate = 100, .urgent = 2, .rest_max = 0.1},
+    /* Urgent requests stay below the limit. */
     {1, 12, 0.3, 2.0 / 3, 1},
     {1, 12, 0.7, 2.0 / 3, 1},
     {6, 12, 0.3, 2.0 / 3, 1},
     {6, 12, 0.7, 2.0 / 3, 1},
     {6, 100, 0.3, 0.9, 1},
     {6, 100, 0.7, 0.9, 1},
-    /* So seldom at each instance that most find none granted there. */
+    /* So few per instance that most find no grant there. */
     {60, 12, 2, 0, 1},
     {300, 12, 2, 0, 1},
     {300, 100, 0.7, 0, 1},
 };
 
-/* Plays one and checks it. */
+/* Runs and checks one case. */
 static void
 urgent_case(const urgent_case_t *c, guint32 seed)
 {
@@ -899,26 +931,27 @@
         }
     }
     double seconds =
-        (double)(s.now_us - s.named_us - STABLE_US) / G_USEC_PER_SEC;
+        (double)(s.now_us - s.announced_us - STABLE_US) / G_USEC_PER_SEC;
     double sent = (double)(s.urgent.sent + s.rest.sent);
-    double urgent = (double)(s.urgent.sent + s.urgent.kept_away);
+    double urgent = (double)(s.urgent.sent + s.urgent.denied);
     double served = (double)s.urgent.sent / urgent;
     double rest = (double)s.rest.sent / sent;
     double used = sent / (c->rate * seconds);
-    if (s.broken || used * 3 < 2 || served < c->served_least ||
-        rest > c->rest_most) {
+    if (s.exceeded || used * 3 < 2 || served < c->served_min ||
+        rest > c->rest_max) {
         printf("seed %u, %u instances, %.0f a second, urgent %.1f times: used "
                "%.2f, urgent served %.2f, rest %.2f of the sends\n",
                seed, c->entries, c->rate, c->urgent, used, served, rest);
     }
-    CU_ASSERT_FALSE(s.broken);
+    CU_ASSERT_FALSE(s.exceeded);
     CU_ASSERT(used * 3 >= 2);
-    CU_ASSERT(served >= c->served_least);
-    CU_ASSERT(rest <= c->rest_most);
+    CU_ASSERT(served >= c->served_min);
+    CU_ASSERT(rest <= c->rest_max);
     sim_end(&s);
 }
 
-/* Less urgent requests took what the urgent ones needed. */
+/* Guards against less urgent requests that use up the sends which urgent ones
+ * need. */
 static void
 test_urgent_first(void)
 {
@@ -930,24 +963,24 @@
     }
 }
 
-/* ---- who was refused comes back in turn ---- */
+/* ---- retries of refused callers ---- */
 
-/* A hundred callers refused at one moment do not come back together, and none
- * is put off for longer than it may be. */
+/* A hundred callers that are refused at the same moment don't retry together,
+ * and none waits longer than the maximum. */
 static void
 test_retry_spread(void)
 {
-    enum { CALLERS = 100, SLOT_MS = 250, MOST_MS = 5000 };
+    enum { CALLERS = 100, SLOT_MS = 250, WAIT_MAX_MS = 5000 };
     static const double RATES[] = {0.01, 0.4, 4, 100};
     for (gsize k = 0; k < G_N_ELEMENTS(RATES); k++) {
-        guint slots[MOST_MS / SLOT_MS + 1] = {0};
+        guint slots[WAIT_MAX_MS / SLOT_MS + 1] = {0};
         limit_retry_t retry = {0};
         GRand *random = g_rand_new_with_seed(1);
         guint most = 0;
         for (guint i = 0; i < CALLERS; i++) {
             gint ms = limit_retry_ms(&retry, RATES[k], g_rand_double(random),
                                      SECOND);
-            CU_ASSERT_FATAL(ms > 0 && ms <= MOST_MS);
+            CU_ASSERT_FATAL(ms > 0 && ms <= WAIT_MAX_MS);
             slots[ms / SLOT_MS]++;
             most = MAX(most, slots[ms / SLOT_MS]);
         }
@@ -957,12 +990,12 @@
     }
 }
 
-/* ---- how many share it ---- */
+/* ---- number of instances that share a limit ---- */
 
-/* A control instance that has just started counts too few: what all share is
- * not divided by less at once. */
+/* Guards against shares that grow when a restarted control instance counts too
+ * few instances: the count doesn't fall at once. */
 static void
-test_count(void)
+test_instance_count(void)
 {
     instance_count_t count = {0};
     CU_ASSERT_EQUAL(instance_count_get(&count), 1);
@@ -984,17 +1017,18 @@
 }
 
 static const test_case_t CASES[] = {
-    {"what an instance makes of what it hears", test_words},
+    {"what an instance makes of what it hears", test_tracking},
     {"1 to 985 instances keep a limit and use it", test_sizes},
     {"drawn histories without faults", test_calm},
     {"drawn histories with faults", test_faults},
     {"drawn histories in which the rate changes", test_changes},
     {"drawn histories in which the limit is lifted", test_lifted},
-    {"instances that want alike are granted alike", test_shares_alike},
-    {"granted sends are left to more urgent requests", test_leaves_to_urgent},
+    {"instances that want alike are granted alike", test_equal_shares},
+    {"granted sends are left to more urgent requests",
+     test_reserve_for_urgent},
     {"what is granted goes to the urgent first", test_urgent_first},
     {"who was refused comes back in turn", test_retry_spread},
-    {"the count of instances does not fall at once", test_count},
+    {"the count of instances does not fall at once", test_instance_count},
 };
 
 CHECK_MAIN("limit_quota", CASES)
