--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -1,5 +1,5 @@
-/* Requests that crash their endpoints: which request is which, and what is
- * made of the ends of endpoints. Without a socket. */
+/* Tests of the detection of requests that crash endpoints: fingerprints, the
+ * crash ledger, and the quarantine at an entry instance. No sockets. */
 #include <string.h>
 
 #include "carobloom/gateway/crash_wire.h"
@@ -12,7 +12,7 @@
 enum { MS = 1000, SECOND = 1000 * MS };
 static const gint64 MEMORY_US = 600 * (gint64)SECOND;
 
-/* ---- which request is the same ---- */
+/* ---- identity of requests ---- */
 
 typedef struct {
     const char *name;
@@ -69,22 +69,22 @@
     endpoint_end_clear(&end);
 }
 
-/* ---- what is held ---- */
+/* ---- evaluation of ends ---- */
 
 typedef enum {
     STEP_NONE,
-    STEP_END,      /* an endpoint ended, `what` ran there */
-    STEP_ANSWERED, /* one was answered whole */
-    STEP_WAIT,     /* time passes and all is judged */
+    STEP_END,      /* an endpoint ended; `letters` ran there */
+    STEP_ANSWERED, /* a request was answered completely */
+    STEP_WAIT,     /* time passes and the ledger is evaluated */
 } step_kind_t;
 
-/* Requests go by a letter: large where it was beginning, small where it had
- * answered for long, with a mark (') where it was answered shortly before, and
- * another (!) where it was sent on trial. */
+/* Each request is a letter: upper case if it was beginning, lower case if its
+ * response had been streaming for long, followed by ' if it was answered
+ * shortly before, and by ! if it was sent as a probe. */
 typedef struct {
     step_kind_t kind;
     const char *endpoint;
-    const char *what;
+    const char *letters;
     gint64 ms;
 } step_t;
 
@@ -92,17 +92,17 @@
 
 typedef struct {
     const char *name;
-    const char *held; /* letters, in order */
+    const char *quarantined; /* letters in alphabetical order */
     step_t steps[STEPS_MAX];
 } ledger_case_t;
 
 #define END(e, runs)                                                          \
     {                                                                         \
-        .kind = STEP_END, .endpoint = (e), .what = (runs)                     \
+        .kind = STEP_END, .endpoint = (e), .letters = (runs)                  \
     }
 #define ANSWERED(letter)                                                      \
     {                                                                         \
-        .kind = STEP_ANSWERED, .what = (letter)                               \
+        .kind = STEP_ANSWERED, .letters = (letter)                            \
     }
 #define WAIT(time)                                                            \
     {                                                                         \
@@ -217,12 +217,12 @@
 }
 
 static void
-note_end(crash_ledger_t *l, const char *endpoint, const char *what,
-         gint64 now_us)
+record_end(crash_ledger_t *l, const char *endpoint, const char *letters,
+           gint64 now_us)
 {
     endpoint_end_t end;
     endpoint_end_init(&end, endpoint, 0);
-    for (const char *c = what; *c != '\0'; c++) {
+    for (const char *c = letters; *c != '\0'; c++) {
         cut_run_t run = {.fingerprint = letter_fingerprint(*c),
                          .stage = c[1] == '\''          ? RUN_ANSWERED
                                   : c[1] == '!'         ? RUN_TRIED
@@ -242,9 +242,10 @@
     return *(const char *)a - *(const char *)b;
 }
 
-/* The letters of what is held, as an entry instance takes the orders. */
+/* Returns the letters of the quarantined requests, from the orders that an
+ * entry instance gets. */
 static char *
-held_letters(const crash_ledger_t *l, gint64 now_us)
+quarantined_letters(const crash_ledger_t *l, gint64 now_us)
 {
     guint64 cursor = 0;
     GArray *letters = g_array_new(TRUE, FALSE, 1);
@@ -271,21 +272,21 @@
     gint64 now_us = SECOND;
     for (const step_t *s = c->steps; s->kind != STEP_NONE; s++) {
         if (s->kind == STEP_END) {
-            note_end(l, s->endpoint, s->what, now_us);
+            record_end(l, s->endpoint, s->letters, now_us);
         }
         if (s->kind == STEP_ANSWERED) {
-            crash_ledger_record_answered(l, letter_fingerprint(s->what[0]),
+            crash_ledger_record_answered(l, letter_fingerprint(s->letters[0]),
                                          now_us);
         }
         now_us += s->ms * MS;
         crash_ledger_evaluate(l, now_us);
     }
-    char *held = held_letters(l, now_us);
-    if (strcmp(held, c->held) != 0) {
-        printf("%s: held %s\n", c->name, held);
+    char *quarantined = quarantined_letters(l, now_us);
+    if (strcmp(quarantined, c->quarantined) != 0) {
+        printf("%s: held %s\n", c->name, quarantined);
     }
-    CU_ASSERT_STRING_EQUAL(held, c->held);
-    g_free(held);
+    CU_ASSERT_STRING_EQUAL(quarantined, c->quarantined);
+    g_free(quarantined);
     crash_ledger_destroy(l);
 }
 
@@ -297,12 +298,12 @@
     }
 }
 
-/* Thousands of suspects at once: memory is bounded, and the cause is found
- * among them. */
+/* With thousands of suspects, memory is bounded and the cause is still found.
+ */
 static void
-test_many(void)
+test_many_suspects(void)
 {
-    enum { ENDS = 3000, RUNS = 100, MOST = 40000 };
+    enum { ENDS = 3000, RUNS = 100, SUSPECTS_MAX = 40000 };
     const guint64 cause = 7;
     guint64 next = 100;
     gint64 now_us = SECOND;
@@ -322,7 +323,7 @@
         endpoint_end_clear(&end);
         now_us += 100 * MS;
         crash_ledger_evaluate(l, now_us);
-        CU_ASSERT(crash_ledger_suspects(l) < MOST);
+        CU_ASSERT(crash_ledger_suspects(l) < SUSPECTS_MAX);
     }
     CU_ASSERT_EQUAL(crash_ledger_quarantined(l), 1);
     now_us += 2 * MEMORY_US;
@@ -334,14 +335,15 @@
     crash_ledger_destroy(l);
 }
 
-/* Thousands that are held: told in parts, the oldest give way. */
+/* Thousands of quarantined requests are sent in batches, and the oldest are
+ * released when the quarantine is full. */
 static void
-test_many_held(void)
+test_many_quarantined(void)
 {
-    enum { HELD = 6000, PART = 128, MOST = 4096 };
+    enum { REQUESTS = 6000, BATCH_MAX = 128, QUARANTINED_MAX = 4096 };
     gint64 now_us = SECOND;
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
-    for (guint i = 0; i < HELD; i++) {
+    for (guint i = 0; i < REQUESTS; i++) {
         for (guint j = 0; j < 3; j++) {
             char name[32];
             endpoint_end_t end;
@@ -355,12 +357,13 @@
         crash_ledger_evaluate(l, now_us);
     }
     crash_ledger_evaluate(l, now_us + SECOND);
-    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), MOST);
+    CU_ASSERT_EQUAL(crash_ledger_quarantined(l), QUARANTINED_MAX);
     guint64 cursor = 0;
     quarantine_t *q = quarantine_create();
-    for (guint i = 0; i < HELD && cursor != crash_ledger_cursor(l); i++) {
-        GArray *orders = crash_ledger_orders_since(l, &cursor, PART, now_us);
-        CU_ASSERT(orders->len <= PART);
+    for (guint i = 0; i < REQUESTS && cursor != crash_ledger_cursor(l); i++) {
+        GArray *orders =
+            crash_ledger_orders_since(l, &cursor, BATCH_MAX, now_us);
+        CU_ASSERT(orders->len <= BATCH_MAX);
         for (guint j = 0; j < orders->len; j++) {
             quarantine_apply_order(
                 q, &g_array_index(orders, quarantine_order_t, j), "i", now_us);
@@ -368,65 +371,65 @@
         g_array_unref(orders);
     }
     CU_ASSERT_EQUAL(cursor, crash_ledger_cursor(l));
-    CU_ASSERT_EQUAL(quarantine_count(q), MOST);
+    CU_ASSERT_EQUAL(quarantine_count(q), QUARANTINED_MAX);
     quarantine_expire(q, now_us + MEMORY_US + SECOND);
     CU_ASSERT(quarantine_is_empty(q));
     quarantine_destroy(q);
     crash_ledger_destroy(l);
 }
 
-/* Those that are held in doubt are tried one at a time, by turns. */
+/* Uncertain requests are probed one at a time, in turn. */
 static void
-test_trials(void)
+test_probes(void)
 {
     enum { TIED = 3, TURNS = 9, TURN_MS = 3000 };
     gint64 now_us = SECOND;
-    guint tried[128] = {0};
+    guint probed[128] = {0};
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
     for (guint i = 0; i < 5; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "%u", i);
-        note_end(l, name, "ABX", now_us);
+        record_end(l, name, "ABX", now_us);
     }
     crash_ledger_evaluate(l, now_us);
     CU_ASSERT_EQUAL(crash_ledger_quarantined(l), TIED);
     for (guint i = 0; i <= TURNS; i++) {
         guint64 cursor = 0;
-        guint on_trial = 0;
+        guint probes = 0;
         GArray *orders =
             crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
         for (guint j = 0; j < orders->len; j++) {
             const quarantine_order_t *o =
                 &g_array_index(orders, quarantine_order_t, j);
             CU_ASSERT(o->uncertain);
-            on_trial += o->probe != 0;
-            tried[o->fingerprint % 128] += o->probe != 0;
+            probes += o->probe != 0;
+            probed[o->fingerprint % 128] += o->probe != 0;
         }
-        CU_ASSERT_EQUAL(on_trial, i == 0 ? 0 : 1);
+        CU_ASSERT_EQUAL(probes, i == 0 ? 0 : 1);
         g_array_unref(orders);
         now_us += TURN_MS * MS;
         crash_ledger_evaluate(l, now_us);
     }
-    CU_ASSERT_EQUAL(tried['A'], TURNS / TIED);
-    CU_ASSERT_EQUAL(tried['B'], TURNS / TIED);
-    CU_ASSERT_EQUAL(tried['X'], TURNS / TIED);
+    CU_ASSERT_EQUAL(probed['A'], TURNS / TIED);
+    CU_ASSERT_EQUAL(probed['B'], TURNS / TIED);
+    CU_ASSERT_EQUAL(probed['X'], TURNS / TIED);
     crash_ledger_destroy(l);
 }
 
-/* A control instance that started again made those that were held by mistake
- * wait for their trial once more. */
+/* Guards against a restarted control instance that makes uncertain requests
+ * wait again before their next probe. */
 static void
-test_tried_after_restart(void)
+test_probe_after_restart(void)
 {
     gint64 now_us = SECOND;
     guint64 cursor = 0;
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
-    quarantine_order_t kept = {.fingerprint = 7,
-                               .left_us = MEMORY_US / 2,
-                               .since_us = SECOND,
-                               .endpoints = (char *)"a,b",
-                               .uncertain = TRUE};
-    crash_ledger_restore(l, &kept, now_us);
+    quarantine_order_t stored = {.fingerprint = 7,
+                                 .left_us = MEMORY_US / 2,
+                                 .since_us = SECOND,
+                                 .endpoints = (char *)"a,b",
+                                 .uncertain = TRUE};
+    crash_ledger_restore(l, &stored, now_us);
     crash_ledger_evaluate(l, now_us);
     GArray *orders = crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
     CU_ASSERT_EQUAL_FATAL(orders->len, 1);
@@ -435,37 +438,38 @@
     crash_ledger_destroy(l);
 }
 
-/* An instance that stood still told of cuts from before requests were held;
- * they were taken for cuts of trials, and what merely ran there for the
- * cause. */
+/* Guards against late reports of ends, from before the requests were
+ * quarantined, that are counted as failed probes: a frozen instance sends them
+ * when it resumes, and a request that merely ran there is taken for the cause.
+ */
 static void
-test_cuts_told_late(void)
+test_late_cuts(void)
 {
     enum { TIED = 2, LATE_MS = 2000 };
     gint64 now_us = SECOND;
     guint64 cursor = 0;
-    guint doubted = 0;
+    guint uncertain = 0;
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
     for (guint i = 0; i < 5; i++) {
         char name[8];
         g_snprintf(name, sizeof(name), "%u", i);
-        note_end(l, name, "AX", now_us);
+        record_end(l, name, "AX", now_us);
     }
     crash_ledger_evaluate(l, now_us);
     now_us += LATE_MS * MS;
-    note_end(l, "5", "A", now_us);
-    note_end(l, "6", "A", now_us);
+    record_end(l, "5", "A", now_us);
+    record_end(l, "6", "A", now_us);
     crash_ledger_evaluate(l, now_us);
     GArray *orders = crash_ledger_orders_since(l, &cursor, G_MAXUINT, now_us);
     for (guint i = 0; i < orders->len; i++) {
-        doubted += g_array_index(orders, quarantine_order_t, i).uncertain;
+        uncertain += g_array_index(orders, quarantine_order_t, i).uncertain;
     }
-    CU_ASSERT_EQUAL(doubted, TIED);
+    CU_ASSERT_EQUAL(uncertain, TIED);
     g_array_unref(orders);
     crash_ledger_destroy(l);
 }
 
-/* The instance that tries held requests, as the others hold them back. */
+/* A ledger, and the entry instance that sends the probes. */
 typedef struct {
     crash_ledger_t *ledger;
     quarantine_t *quarantine;
@@ -486,7 +490,7 @@
     g_array_unref(orders);
 }
 
-/* Whether a request may be sent now; a trial is used up. */
+/* Returns whether a request may be sent now, and uses up its probe. */
 static gboolean
 may_send(site_t *site, cut_run_t *run, gint64 now_us)
 {
@@ -501,11 +505,12 @@
 
 enum { CALLERS = 12, CAUSE = 1000 };
 
-/* Callers whose requests run on endpoints until one of these ends, by the
- * cause (NULL: for another reason); each comes again until it is answered. */
+/* Ends an endpoint on which requests of some callers run. `cause` is the
+ * request that crashed it, or NULL if it was killed. Each caller retries until
+ * its request is answered. */
 static void
-end_one(site_t *site, GRand *random, const cut_run_t *cause, guint number,
-        gint64 now_us)
+end_endpoint(site_t *site, GRand *random, const cut_run_t *cause, guint number,
+             gint64 now_us)
 {
     char name[16];
     endpoint_end_t end;
@@ -527,8 +532,8 @@
 
 typedef struct {
     const char *name;
-    int kill_one_in; /* steps; 0: endpoints end by the cause only */
-    int step_ms;     /* how often the cause comes */
+    int kill_one_in; /* steps; 0: endpoints are only crashed by the cause */
+    int step_ms;     /* interval at which the cause is sent */
 } history_case_t;
 
 static const history_case_t HISTORY_CASES[] = {
@@ -537,7 +542,8 @@
     {"endpoints are killed as well", 30, 500},
 };
 
-/* The ends by the cause that came later than `KNOWN_US` after its third. */
+/* Ends by the cause. `late` counts those more than KNOWN_US after the third.
+ */
 typedef struct {
     guint ends;
     guint late;
@@ -545,21 +551,21 @@
 } caused_t;
 
 static void
-note_caused(caused_t *caused, gint64 now_us)
+record_caused(caused_t *caused, gint64 now_us)
 {
-    enum { BORNE = 3, KNOWN_US = 3 * SECOND };
+    enum { TOLERATED = 3, KNOWN_US = 3 * SECOND };
     caused->ends++;
-    if (caused->ends == BORNE) {
+    if (caused->ends == TOLERATED) {
         caused->third_us = now_us;
     }
     caused->late +=
-        caused->ends > BORNE && now_us > caused->third_us + KNOWN_US;
+        caused->ends > TOLERATED && now_us > caused->third_us + KNOWN_US;
 }
 
 static void
-play_history(const history_case_t *c, guint32 seed)
+run_history_case(const history_case_t *c, guint32 seed)
 {
-    enum { STEPS = 60, CALM_MS = 100000, LATE_MOST = 3 };
+    enum { STEPS = 60, CALM_MS = 100000, LATE_MAX = 3 };
     GRand *random = g_rand_new_with_seed(seed);
     crash_ledger_t *l = crash_ledger_create(MEMORY_US);
     site_t site = {.ledger = l, .quarantine = quarantine_create()};
@@ -572,10 +578,10 @@
         gboolean killed = c->kill_one_in > 0 && i < STEPS &&
                           g_rand_int_range(random, 0, c->kill_one_in) == 0;
         if (cause || killed) {
-            end_one(&site, random, cause ? &cause_run : NULL, i, now_us);
+            end_endpoint(&site, random, cause ? &cause_run : NULL, i, now_us);
         }
         if (cause) {
-            note_caused(&caused, now_us);
+            record_caused(&caused, now_us);
         }
         for (guint64 j = 1; j <= CALLERS; j++) {
             cut_run_t run = {.fingerprint = j};
@@ -587,12 +593,12 @@
         now_us += c->step_ms * MS;
         crash_ledger_evaluate(l, now_us);
     }
-    if (caused.late > LATE_MOST || crash_ledger_quarantined(l) != 1) {
+    if (caused.late > LATE_MAX || crash_ledger_quarantined(l) != 1) {
         printf("%s, seed %u: %u ends by the cause, %u late, %u held\n",
                c->name, seed, caused.ends, caused.late,
                crash_ledger_quarantined(l));
     }
-    CU_ASSERT(caused.late <= LATE_MOST);
+    CU_ASSERT(caused.late <= LATE_MAX);
     CU_ASSERT_EQUAL(crash_ledger_quarantined(l), 1);
     CU_ASSERT_PTR_NOT_NULL(quarantine_find(site.quarantine, CAUSE, now_us));
     quarantine_destroy(site.quarantine);
@@ -600,20 +606,20 @@
     g_rand_free(random);
 }
 
-/* Over many histories: the cause is held after few ends, and once endpoints
- * end no more nothing else is. */
+/* In many random histories, the cause is quarantined after few ends, and once
+ * endpoints stop ending no other request is. */
 static void
 test_histories(void)
 {
     enum { HISTORIES = 300 };
     for (gsize i = 0; i < G_N_ELEMENTS(HISTORY_CASES); i++) {
         for (guint32 seed = 1; seed <= HISTORIES; seed++) {
-            play_history(&HISTORY_CASES[i], seed);
+            run_history_case(&HISTORY_CASES[i], seed);
         }
     }
 }
 
-/* ---- what an entry instance holds and remembers ---- */
+/* ---- quarantine and history of an entry instance ---- */
 
 static void
 test_quarantine(void)
@@ -623,11 +629,12 @@
         .fingerprint = 7, .left_us = SECOND, .endpoints = (char *)"a,b"};
     CU_ASSERT(quarantine_is_empty(q));
     CU_ASSERT(quarantine_apply_order(q, &order, "i", SECOND));
-    CU_ASSERT_FALSE(
-        quarantine_apply_order(q, &order, "i", SECOND)); /* of another */
+    /* The same order from another control instance. */
+    CU_ASSERT_FALSE(quarantine_apply_order(q, &order, "i", SECOND));
     CU_ASSERT_PTR_NULL(quarantine_find(q, 8, SECOND));
-    const quarantined_request_t *held = quarantine_find(q, 7, SECOND);
-    CU_ASSERT(held != NULL && strcmp(held->endpoints, "a,b") == 0);
+    const quarantined_request_t *quarantined = quarantine_find(q, 7, SECOND);
+    CU_ASSERT(quarantined != NULL &&
+              strcmp(quarantined->endpoints, "a,b") == 0);
     CU_ASSERT_PTR_NULL(quarantine_find(q, 7, 2 * SECOND));
     order.left_us = 0;
     CU_ASSERT(quarantine_apply_order(q, &order, "i", SECOND));
@@ -635,9 +642,10 @@
     quarantine_destroy(q);
 }
 
-/* Who may send a held request on trial, and how often. */
+/* Only the chosen instance sends a probe, and only once within some seconds.
+ */
 static void
-test_quarantine_trial(void)
+test_quarantine_probe(void)
 {
     static const char *const CHOSEN[] = {"other", "i"};
     for (guint i = 0; i < G_N_ELEMENTS(CHOSEN); i++) {
@@ -651,7 +659,8 @@
         quarantine_apply_order(q, &order, "i", SECOND);
         CU_ASSERT_EQUAL(quarantine_take_probe(q, 7, SECOND), i == 1);
         CU_ASSERT_FALSE(quarantine_take_probe(q, 7, SECOND));
-        quarantine_apply_order(q, &order, "i", SECOND); /* of another */
+        /* The same order from another control instance. */
+        quarantine_apply_order(q, &order, "i", SECOND);
         CU_ASSERT_FALSE(quarantine_take_probe(q, 7, 2 * SECOND));
         CU_ASSERT_EQUAL(quarantine_take_probe(q, 7, 9 * (gint64)SECOND),
                         i == 1);
@@ -677,7 +686,7 @@
     g_free(h);
 }
 
-/* ---- messages and the file ---- */
+/* ---- messages and the stored file ---- */
 
 static void
 fill_report(crash_report_t *report)
@@ -712,7 +721,8 @@
     g_bytes_unref(bytes);
 }
 
-/* Cut or changed bytes are refused or read to some report, no more. */
+/* Truncated or changed bytes are rejected or parsed as some report, and do no
+ * other harm. */
 static void
 test_damaged_report(void)
 {
@@ -742,7 +752,7 @@
 
 typedef struct {
     const char *name;
-    gint64 passed_us; /* by the time of day, between writing and reading */
+    gint64 passed_us; /* by the wall clock, between writing and reading */
     gint64 left_us;
 } file_case_t;
 
@@ -794,14 +804,14 @@
     {"which request is the same", test_identity},
     {"a request ran on an endpoint once", test_end},
     {"what is held for the ends of endpoints", test_ledger},
-    {"thousands of suspects", test_many},
-    {"thousands that are held", test_many_held},
-    {"what is tried", test_trials},
-    {"a cut that is told late is no trial's", test_cuts_told_late},
-    {"what is kept over a restart is tried at once", test_tried_after_restart},
+    {"thousands of suspects", test_many_suspects},
+    {"thousands that are held", test_many_quarantined},
+    {"what is tried", test_probes},
+    {"a cut that is told late is no trial's", test_late_cuts},
+    {"what is kept over a restart is tried at once", test_probe_after_restart},
     {"the cause and nothing else, over many histories", test_histories},
     {"what an entry instance holds", test_quarantine},
-    {"what it may send on trial", test_quarantine_trial},
+    {"what it may send on trial", test_quarantine_probe},
     {"what it remembers of requests", test_history},
     {"reports of ends", test_report},
     {"bytes that are no report", test_damaged_report},
