--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -36,7 +36,7 @@
     part_feed_add(c->parts, report.parts);
     load_answer_t answer = {
         .ask_ms = collector_ask_ms(load_sum_reporters(c->own_loads)),
-        .loads = load_sum_told(c->loads, now),
+        .loads = load_sum_busiest(c->loads, now),
         .heard = report.heard,
     };
     answer.parts = part_feed_since(c->parts, &answer.heard);
@@ -59,8 +59,9 @@
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    gboolean taken = load_sum_change(c->loads, sums.from, sums.loads,
-                                     sums.sequence, sums.base, control_now(c));
+    gboolean taken =
+        load_sum_apply_changes(c->loads, sums.from, sums.loads, sums.sequence,
+                               sums.base, control_now(c));
     part_feed_add(c->parts, sums.parts);
     traffic_note_place(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
@@ -96,7 +97,7 @@
 {
     gint64 now = control_now(c);
     load_delta_t *delta = delta_of(c, to);
-    if (load_delta_waits(delta)) {
+    if (load_delta_is_pending(delta)) {
         return;
     }
     guint64 base = load_delta_base(delta);
@@ -124,7 +125,7 @@
 load_sums_spread(void *data)
 {
     control_t *c = data;
-    if (load_sum_changed(c->own_loads) || c->sorted_loads == NULL) {
+    if (load_sum_clear_changed(c->own_loads) || c->sorted_loads == NULL) {
         g_clear_pointer(&c->sorted_loads, g_array_unref);
         c->sorted_loads = load_sum_sorted(c->own_loads);
     }
@@ -144,7 +145,7 @@
 {
     load_delta_t *delta = delta_of(c, to);
     if (taken) {
-        load_delta_taken(delta);
+        load_delta_acknowledged(delta);
     }
     else {
         load_delta_lost(delta);
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -164,12 +164,14 @@
     event_log_cstr("service", service);
     event_log_number("engines", demand->engines);
     event_log_number("for_long_percent",
-                     (gint64)(100 * engine_split_part(split)));
-    event_log_number("tokens_a_ms", (gint64)demand->tokens_a_ms);
-    event_log_number("long_running", demand->of_long.running);
-    event_log_number("long_waiting", (gint64)demand->of_long.waiting_tokens);
-    event_log_number("rest_running", demand->of_rest.running);
-    event_log_number("rest_waiting", (gint64)demand->of_rest.waiting_tokens);
+                     (gint64)(100 * engine_split_long_fraction(split)));
+    event_log_number("tokens_a_ms", (gint64)demand->tokens_per_ms);
+    event_log_number("long_running", demand->long_prompts.running);
+    event_log_number("long_waiting",
+                     (gint64)demand->long_prompts.waiting_tokens);
+    event_log_number("rest_running", demand->short_prompts.running);
+    event_log_number("rest_waiting",
+                     (gint64)demand->short_prompts.waiting_tokens);
     event_log_end();
 }
 
@@ -185,11 +187,12 @@
         service_use_t *use = value;
         split_demand_t demand =
             directory_demand(e->directory, service, e->loads_us);
-        demand.tokens_a_ms = engine_model_tokens_a_ms(&use->engine);
-        prompt_mix_fill(&use->prompts, e->entries, e->loads_us, &demand);
-        double before = engine_split_part(&use->split);
+        demand.tokens_per_ms = engine_model_tokens_per_ms(&use->engine);
+        prompt_mix_fill_demand(&use->prompts, e->entries, e->loads_us,
+                               &demand);
+        double before = engine_split_long_fraction(&use->split);
         engine_split_update(&use->split, &demand, e->loads_us);
-        if (engine_split_part(&use->split) != before) {
+        if (engine_split_long_fraction(&use->split) != before) {
             log_split(service, &use->split, &demand);
         }
     }
@@ -413,9 +416,9 @@
             text,
             "service %s: %.0f tokens read a ms, first event of none after"
             " %.0f ms, %.2f of the engines for long prompts\n",
-            (const char *)service, engine_model_tokens_a_ms(&use->engine),
+            (const char *)service, engine_model_tokens_per_ms(&use->engine),
             engine_model_first_ms(&use->engine, 0),
-            engine_split_part(&use->split));
+            engine_split_long_fraction(&use->split));
     }
 }
 
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -81,7 +81,7 @@
         event_log_number("tried", f->placed.tried);
         event_log_number("full", f->placed.full);
         event_log_number("limited", f->placed.limited);
-        event_log_number("no_place", f->placed.no_place);
+        event_log_number("no_place", f->placed.no_slot);
         event_log_number("prompt_tokens", f->info.prompt_tokens);
     }
     if (f->first_us != 0) {
@@ -422,11 +422,11 @@
     repeat_limits_t limits = entry_repeat_limits(e);
     f->use = entry_service(e, f->service);
     f->use->arrived++;
-    prompt_note_t note = {.prompt_tokens = f->info.prompt_tokens,
-                          .target_ms = f->route->target_ms,
-                          .pause_ms = f->route->pause_ms,
-                          .priority = f->route->priority};
-    prompt_mix_note(&f->use->prompts, note, forward_now(f));
+    prompt_sample_t note = {.prompt_tokens = f->info.prompt_tokens,
+                            .target_ms = f->route->target_ms,
+                            .pause_ms = f->route->pause_ms,
+                            .priority = f->route->priority};
+    prompt_mix_record(&f->use->prompts, note, forward_now(f));
     repeat_budget_note_first(&f->use->budget, &limits, forward_now(f));
     forward_send(f);
 }
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -116,7 +116,7 @@
     }
     double tokens = (double)f->found_waiting + f->waiting_tokens;
     double ms = (double)(forward_now(f) - f->sent_us) / MS;
-    engine_model_note_first(&f->use->engine, tokens, ms);
+    engine_model_record_first(&f->use->engine, tokens, ms);
 }
 
 static void
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -130,15 +130,17 @@
         .parts = f->info.parts,
         .part_count = f->info.part_count,
         .prompt_tokens = f->info.prompt_tokens,
-        .parted = prompt_mix_parted(&f->use->prompts, forward_now(f)),
-        .long_part = engine_split_part(&f->use->split),
+        .partitioned =
+            prompt_mix_needs_partition(&f->use->prompts, forward_now(f)),
+        .long_fraction = engine_split_long_fraction(&f->use->split),
         .long_tokens = prompt_mix_long_tokens(&f->use->prompts),
         .target_ms = f->route->target_ms,
-        .rest_pause_ms = f->use->prompts.rest_pause_ms,
-        .tokens_a_ms = engine_model_tokens_a_ms(&f->use->engine),
+        .short_prompt_pause_ms = f->use->prompts.short_prompt_pause_ms,
+        .tokens_per_ms = engine_model_tokens_per_ms(&f->use->engine),
         .memory_tokens = service != NULL ? service->memory_tokens : 0,
-        .fetch_tokens_a_ms = service != NULL ? service->fetch_tokens_a_ms : 0,
-        .unknown_sharers = entry_knows_loads(f->entry) ? 0 : f->entry->entries,
+        .fetch_tokens_per_ms =
+            service != NULL ? service->fetch_tokens_a_ms : 0,
+        .load_scale = entry_knows_loads(f->entry) ? 0 : f->entry->entries,
         .data_centre = f->entry->settings->data_centre,
         .tried_count = MIN(f->sends, PLACEMENT_TRIED_MAX),
         .yields = yields(f),
@@ -198,7 +200,7 @@
     const endpoint_t *endpoint = placement->endpoint;
     prompt_part_t prefix = placement_prefix_part(request);
     prompt_part_t shared = placement_shared_part(request);
-    if (prefix.tokens >= PREFIX_TOLD_TOKENS && !placement->prefix_held) {
+    if (prefix.tokens >= PREFIX_TOLD_TOKENS && !placement->prefix_cached) {
         load_link_note_part(f->entry->load_link, prefix.id, endpoint);
     }
     if (shared.tokens >= PART_TOLD_TOKENS &&
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -44,7 +44,7 @@
     guint64 timer; /* of the next report */
     gint64 asked_us;
     GArray *reported;   /* loads in the report under way, or NULL */
-    GArray *parts;      /* part_note_t, for the next report */
+    GArray *parts;      /* part_copy_t, for the next report */
     guint64 heard;      /* notes that this control instance told */
     GHashTable *silent; /* address -> gint64, when it did not answer */
 };
@@ -209,7 +209,7 @@
 {
     load_link_t *link = g_new0(load_link_t, 1);
     link->entry = e;
-    link->parts = g_array_new(FALSE, FALSE, sizeof(part_note_t));
+    link->parts = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
     link->silent =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     link_wait(link, IDLE_US);
@@ -232,7 +232,7 @@
 load_link_note_part(load_link_t *link, guint64 part,
                     const endpoint_t *endpoint)
 {
-    part_note_t note = {.part = part, .endpoint = endpoint->hash};
+    part_copy_t note = {.part = part, .endpoint = endpoint->hash};
     if (link->parts->len < PARTS_MOST) {
         g_array_append_val(link->parts, note);
     }
--- a/carobloomd/gateway/load_wire.c
+++ b/carobloomd/gateway/load_wire.c
@@ -101,12 +101,12 @@
     guint count = parts != NULL ? parts->len : 0;
     guint64 *words = g_new(guint64, 2 * (gsize)count);
     for (guint i = 0; i < count; i++) {
-        const part_note_t *note = &g_array_index(parts, part_note_t, i);
+        const part_copy_t *note = &g_array_index(parts, part_copy_t, i);
         words[2 * i] = GUINT64_TO_LE(note->part);
         words[2 * i + 1] = GUINT64_TO_LE(note->endpoint);
     }
     return g_variant_new_from_data(G_VARIANT_TYPE("ay"), words,
-                                   count * sizeof(part_note_t), TRUE, g_free,
+                                   count * sizeof(part_copy_t), TRUE, g_free,
                                    words);
 }
 
@@ -120,11 +120,11 @@
     guint64 words[2]; /* a part and an endpoint */
     if (records_of(list, sizeof(words), PART_FEED_MAX, &data, &count)) {
         parts =
-            g_array_sized_new(FALSE, FALSE, sizeof(part_note_t), (guint)count);
+            g_array_sized_new(FALSE, FALSE, sizeof(part_copy_t), (guint)count);
     }
     for (gsize i = 0; parts != NULL && i < count; i++) {
         memcpy(words, data + i * sizeof(words), sizeof(words));
-        part_note_t note = {.part = GUINT64_FROM_LE(words[0]),
+        part_copy_t note = {.part = GUINT64_FROM_LE(words[0]),
                             .endpoint = GUINT64_FROM_LE(words[1])};
         g_array_append_val(parts, note);
     }
--- a/include/carobloom/gateway/load_wire.h
+++ b/include/carobloom/gateway/load_wire.h
@@ -23,14 +23,14 @@
 typedef struct {
     char *from;    /* name of the instance */
     GArray *loads; /* endpoint_load_t */
-    GArray *parts; /* part_note_t, since the last report */
+    GArray *parts; /* part_copy_t, since the last report */
     guint64 heard; /* how many notes it was told; see part_feed.h */
 } load_report_t;
 
 typedef struct {
     guint32 ask_ms; /* until the next report is asked for */
     GArray *loads;  /* endpoint_load_t, over all entry instances */
-    GArray *parts;  /* part_note_t that were not told before */
+    GArray *parts;  /* part_copy_t that were not told before */
     guint64 heard;  /* to be said with the next report */
 } load_answer_t;
 
@@ -38,10 +38,10 @@
 typedef struct {
     char *from;        /* IP:PORT of the control instance */
     char *data_centre; /* where it stands; empty: told before */
-    guint64 sequence;  /* see load_sum_change */
+    guint64 sequence;  /* see load_sum_apply_changes */
     guint64 base;
     GArray *loads; /* endpoint_load_t that changed, in order of endpoints */
-    GArray *parts; /* part_note_t that were not told before */
+    GArray *parts; /* part_copy_t that were not told before */
 } load_sums_t;
 
 GBytes *load_report_write(const load_report_t *report);
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -111,7 +111,7 @@
  * endpoints is bounded: of each the less the more there are. */
 void directory_note_part(directory_t *directory, endpoint_t *endpoint,
                          guint64 part);
-/* Takes what entry instances say of parts that they sent; part_note_t. */
+/* Takes what entry instances say of parts that they sent; part_copy_t. */
 void directory_take_parts(directory_t *directory, const GArray *notes);
 /* What is known of an endpoint's limit; the record lives as long as the
  * endpoint. */
--- a/include/carobloom/policy/engine_model.h
+++ b/include/carobloom/policy/engine_model.h
@@ -30,10 +30,11 @@
 void engine_model_init(engine_model_t *model);
 /* A first event came after `ms`; `tokens` had to be read for it, those of
  * prompts ahead of it included. */
-void engine_model_note_first(engine_model_t *model, double tokens, double ms);
+void engine_model_record_first(engine_model_t *model, double tokens,
+                               double ms);
 /* Expected time to a first event, in ms, at an endpoint of usual speed. */
 double engine_model_first_ms(const engine_model_t *model, double tokens);
 /* Prompt tokens read in a ms. */
-double engine_model_tokens_a_ms(const engine_model_t *model);
+double engine_model_tokens_per_ms(const engine_model_t *model);
 
 #endif
--- a/include/carobloom/policy/engine_split.h
+++ b/include/carobloom/policy/engine_split.h
@@ -14,17 +14,17 @@
     guint64 waiting_tokens; /* to be read before their first events */
     gint64 target_ms;       /* objective of the first event; 0: not known */
     gint64 pause_ms;        /* objective of pauses; 0: none */
-    double a_second;        /* that arrive */
+    double arrivals_per_s;  /* that arrive */
     double prompt_tokens;   /* of one, on average */
     guint priority;         /* of its most urgent requests; 0 first */
 } kind_load_t;
 
 typedef struct {
-    guint engines;      /* that take work */
-    guint slots;        /* of one */
-    double tokens_a_ms; /* that one reads */
-    kind_load_t of_long;
-    kind_load_t of_rest;
+    guint engines;        /* that take work */
+    guint slots;          /* of one */
+    double tokens_per_ms; /* that one reads */
+    kind_load_t long_prompts;
+    kind_load_t short_prompts;
 } split_demand_t;
 
 typedef struct {
@@ -35,7 +35,7 @@
 
 /* The part of the engines that long prompts get; before any load is known, one
  * that suits either kind. */
-double engine_split_part(const engine_split_t *split);
+double engine_split_long_fraction(const engine_split_t *split);
 void engine_split_update(engine_split_t *split, const split_demand_t *demand,
                          gint64 now_us);
 
--- a/include/carobloom/policy/keepers.h
+++ b/include/carobloom/policy/keepers.h
@@ -10,19 +10,19 @@
 #include "carobloom/policy/directory.h"
 
 enum {
-    KEEPERS_HOLDERS = 2, /* the one that asks may be among them */
-    KEEPERS_MAX = 2,     /* of the ranked ones, those that keep the part */
-    KEEPERS_RANKED = 6,  /* four more: a choice among few evens out loads */
+    PART_SOURCES_MAX = 2, /* the one that asks may be among them */
+    PART_HOMES_MAX = 2,   /* of the ranked ones, those that keep the part */
+    PART_RANKED_MAX = 6,  /* four more: a choice among few evens out loads */
 };
 
 /* Endpoints for prompts of one kind, by their place in the service's list. */
 typedef struct {
     guint from;
     guint to;
-} side_t;
+} partition_t;
 
 typedef struct {
-    endpoint_t *at[KEEPERS_RANKED]; /* in order of rank */
+    endpoint_t *at[PART_RANKED_MAX]; /* in order of rank */
     guint count;
     /* Ranked before the home, but on the other side by now: it was the home
      * while its side was this one, and got the part. NULL: none. */
@@ -32,21 +32,23 @@
     const endpoint_t *leaving;
     /* Ranked highest of those that were sent the part lately, wherever they
      * are by now. */
-    const endpoint_t *holders[KEEPERS_HOLDERS];
+    const endpoint_t *holders[PART_SOURCES_MAX];
     /* One that was sent the part before it in the prompt, which more prompts
      * share; an endpoint that gets the part for the first time has it from
      * there. NULL: none. */
     const endpoint_t *prefix_holder;
-} keepers_t;
+} part_ranking_t;
 
 /* The keepers of a part among the usable endpoints of a side; none for part
  * 0. `prefix` is the part before it, or 0. */
-keepers_t keepers_of(const GPtrArray *endpoints, side_t side, guint64 part,
-                     guint64 prefix, gint64 now_us);
-/* Its place among them; KEEPERS_RANKED when it has none. */
-guint keepers_rank(const keepers_t *keepers, const endpoint_t *endpoint);
+part_ranking_t part_ranking_build(const GPtrArray *endpoints, partition_t side,
+                                  guint64 part, guint64 prefix, gint64 now_us);
+/* Its place among them; PART_RANKED_MAX when it has none. */
+guint part_ranking_position(const part_ranking_t *keepers,
+                            const endpoint_t *endpoint);
 /* Whom `endpoint` best fetches the part from; NULL: nobody well enough. */
-const endpoint_t *keepers_source(const keepers_t *keepers,
-                                 const endpoint_t *endpoint, gint64 now_us);
+const endpoint_t *part_ranking_source(const part_ranking_t *keepers,
+                                      const endpoint_t *endpoint,
+                                      gint64 now_us);
 
 #endif
--- a/include/carobloom/policy/load_delta.h
+++ b/include/carobloom/policy/load_delta.h
@@ -14,7 +14,7 @@
 void load_delta_destroy(load_delta_t *delta);
 /* Whether a message is under way. Nothing else can be told until it was taken
  * or lost. */
-gboolean load_delta_waits(const load_delta_t *delta);
+gboolean load_delta_is_pending(const load_delta_t *delta);
 /* The message that the other has, or 0: it has to be told all. */
 guint64 load_delta_base(const load_delta_t *delta);
 /* What is to be told, in a new array: the loads that differ from those of the
@@ -26,7 +26,7 @@
 /* When the last message was sent. */
 gint64 load_delta_sent_us(const load_delta_t *delta);
 /* The other has taken it, or it may not have. */
-void load_delta_taken(load_delta_t *delta);
+void load_delta_acknowledged(load_delta_t *delta);
 void load_delta_lost(load_delta_t *delta);
 
 #endif
--- a/include/carobloom/policy/load_sum.h
+++ b/include/carobloom/policy/load_sum.h
@@ -23,7 +23,7 @@
 
 /* Endpoints told with one answer: as many as any few hundred endpoints that
  * are all busy. */
-enum { LOADS_TOLD_MOST = 256 };
+enum { BUSIEST_LOADS_MAX = 256 };
 
 typedef struct load_sum load_sum_t;
 
@@ -35,9 +35,9 @@
 /* The same from an instance that tells changes: message `sequence` changes
  * message `base`, or, where that is 0, says all. FALSE when the base is not
  * the last one known of it: nothing is taken then. */
-gboolean load_sum_change(load_sum_t *sum, const char *instance,
-                         const GArray *changes, guint64 sequence, guint64 base,
-                         gint64 now_us);
+gboolean load_sum_apply_changes(load_sum_t *sum, const char *instance,
+                                const GArray *changes, guint64 sequence,
+                                guint64 base, gint64 now_us);
 /* Takes out what was not renewed since `oldest_us`. */
 void load_sum_expire(load_sum_t *sum, gint64 oldest_us);
 /* The sums that are not zero, in a new array; the latter in order of
@@ -48,9 +48,9 @@
  * count as idle, so that an answer is bounded however many endpoints there
  * are. To be unref'd; it is worked out at most so often that it takes a fixed
  * part of the time. */
-GArray *load_sum_told(load_sum_t *sum, gint64 now_us);
+GArray *load_sum_busiest(load_sum_t *sum, gint64 now_us);
 /* Whether a report came or was taken out since this was last asked. */
-gboolean load_sum_changed(load_sum_t *sum);
+gboolean load_sum_clear_changed(load_sum_t *sum);
 /* Instances whose report counts. */
 guint load_sum_reporters(const load_sum_t *sum);
 
--- a/include/carobloom/policy/part_feed.h
+++ b/include/carobloom/policy/part_feed.h
@@ -16,13 +16,13 @@
 typedef struct {
     guint64 part;
     guint64 endpoint; /* hash of it */
-} part_note_t;
+} part_copy_t;
 
 typedef struct part_feed part_feed_t;
 
 part_feed_t *part_feed_create(void);
 void part_feed_destroy(part_feed_t *feed);
-/* `notes` holds part_note_t. */
+/* `notes` holds part_copy_t. */
 void part_feed_add(part_feed_t *feed, const GArray *notes);
 /* The notes after the first `heard` ones, as far as they are kept, in a new
  * array; `heard` becomes how many were ever added. More than these is a word
--- a/include/carobloom/policy/part_set.h
+++ b/include/carobloom/policy/part_set.h
@@ -11,12 +11,12 @@
 
 /* Zero-filled: empty. */
 typedef struct {
-    guint64 *places; /* a part each; 0: none */
-    guint count;     /* of places: none or a power of two */
+    guint64 *buckets; /* a part each; 0: none */
+    guint count;      /* of buckets: none or a power of two */
 } part_set_t;
 
 void part_set_clear(part_set_t *set);
-/* Adds a part, with `most` places at most (a power of two). */
+/* Adds a part, with `most` buckets at most (a power of two). */
 void part_set_add(part_set_t *set, guint64 part, guint most);
 gboolean part_set_has(const part_set_t *set, guint64 part);
 
--- a/include/carobloom/policy/placement.h
+++ b/include/carobloom/policy/placement.h
@@ -28,18 +28,18 @@
     const prompt_part_t *parts; /* of the prompt, in order */
     guint part_count;
     guint prompt_tokens;
-    gboolean parted;      /* the service gets long prompts: see above */
-    double long_part;     /* of its engines, for long prompts */
+    gboolean partitioned; /* the service gets long prompts: see above */
+    double long_fraction; /* of its engines, for long prompts */
     double long_tokens;   /* of a typical long prompt; 0: not known */
     gint64 target_ms;     /* objective of the first event; 0: none */
-    gint64 rest_pause_ms; /* of pauses, of what is not long; 0: none */
-    double tokens_a_ms;   /* that an engine reads */
+    gint64 short_prompt_pause_ms; /* of pauses, of what is not long; 0: none */
+    double tokens_per_ms;         /* that an engine reads */
     gint64 memory_tokens; /* that an engine holds in all; 0: not known */
     /* Tokens an engine fetches from another's memory in a ms; 0: none. */
-    double fetch_tokens_a_ms;
+    double fetch_tokens_per_ms;
     /* Entry instances that share the endpoints, when what the others have
      * under way is not known; 0 when it is. */
-    guint unknown_sharers;
+    guint load_scale;
     const char *data_centre;                      /* of this instance */
     const endpoint_t *tried[PLACEMENT_TRIED_MAX]; /* not these again */
     guint tried_count;
@@ -57,7 +57,7 @@
     guint tried;    /* by this request */
     guint full;     /* refused a request a moment ago */
     guint limited;  /* have named a limit, and no send is granted */
-    guint no_place; /* have as much as they end in time */
+    guint no_slot;  /* have as much as they end in time */
     guint closed;   /* failed lately; taken when there is no other */
 } placement_counts_t;
 
@@ -70,7 +70,7 @@
     /* Would have been chosen but for its limit, or NULL. */
     endpoint_t *denied;
     /* Some endpoint is known to keep the part before the shared one. */
-    gboolean prefix_held;
+    gboolean prefix_cached;
     placement_counts_t counts;
 } placement_t;
 
@@ -89,7 +89,7 @@
 /* The same of the part before that one. */
 prompt_part_t placement_prefix_part(const placement_request_t *request);
 /* Prompt tokens that `endpoint` would have to read. */
-guint placement_unread(const endpoint_t *endpoint,
-                       const placement_request_t *request);
+guint placement_unread_tokens(const endpoint_t *endpoint,
+                              const placement_request_t *request);
 
 #endif
--- a/include/carobloom/policy/prompt_mix.h
+++ b/include/carobloom/policy/prompt_mix.h
@@ -21,10 +21,10 @@
 
 typedef struct {
     gint64 first_us; /* when a request first came; 0: never */
-    prompt_kind_t of_long;
-    prompt_kind_t of_rest;
+    prompt_kind_t long_prompts;
+    prompt_kind_t short_prompts;
     /* the shortest objective of pauses among the rest; 0: none */
-    gint64 rest_pause_ms;
+    gint64 short_prompt_pause_ms;
 } prompt_mix_t;
 
 /* What of a request the mix is made of. */
@@ -33,17 +33,17 @@
     gint64 target_ms; /* objective of the first event */
     gint64 pause_ms;  /* objective of pauses; 0: none */
     guint priority;   /* 0 is the most urgent */
-} prompt_note_t;
+} prompt_sample_t;
 
-void prompt_mix_note(prompt_mix_t *mix, prompt_note_t note, gint64 now_us);
+void prompt_mix_record(prompt_mix_t *mix, prompt_sample_t note, gint64 now_us);
 /* Tokens of a typical long prompt; 0: none came yet. */
 double prompt_mix_long_tokens(const prompt_mix_t *mix);
 /* Whether the service's engines are parted between long prompts and the
  * rest. */
-gboolean prompt_mix_parted(const prompt_mix_t *mix, gint64 now_us);
+gboolean prompt_mix_needs_partition(const prompt_mix_t *mix, gint64 now_us);
 /* Fills in what the demand for engines takes from the mix; `instances` get as
  * much as this one each. */
-void prompt_mix_fill(const prompt_mix_t *mix, guint instances, gint64 now_us,
-                     split_demand_t *demand);
+void prompt_mix_fill_demand(const prompt_mix_t *mix, guint instances,
+                            gint64 now_us, split_demand_t *demand);
 
 #endif
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -640,7 +640,7 @@
 directory_take_parts(directory_t *d, const GArray *notes)
 {
     for (guint i = 0; i < notes->len; i++) {
-        const part_note_t *note = &g_array_index(notes, part_note_t, i);
+        const part_copy_t *note = &g_array_index(notes, part_copy_t, i);
         endpoint_t *e = find_hash(d, note->endpoint);
         if (e != NULL) {
             directory_note_part(d, e, note->part);
@@ -680,10 +680,11 @@
     guint waiting = endpoint_waiting(e);
     guint long_running = e->long_running + e->others.long_running;
     guint long_waiting = e->long_waiting + e->others.long_waiting;
-    demand->of_long.running += long_running;
-    demand->of_long.waiting_tokens += long_waiting;
-    demand->of_rest.running += running - MIN(running, long_running);
-    demand->of_rest.waiting_tokens += waiting - MIN(waiting, long_waiting);
+    demand->long_prompts.running += long_running;
+    demand->long_prompts.waiting_tokens += long_waiting;
+    demand->short_prompts.running += running - MIN(running, long_running);
+    demand->short_prompts.waiting_tokens +=
+        waiting - MIN(waiting, long_waiting);
 }
 
 split_demand_t
--- a/policy/engine_model.c
+++ b/policy/engine_model.c
@@ -67,14 +67,14 @@
 }
 
 void
-engine_model_note_first(engine_model_t *m, double tokens, double ms)
+engine_model_record_first(engine_model_t *m, double tokens, double ms)
 {
     double expected = engine_model_first_ms(m, tokens);
     line_fit_add(&m->first, tokens, bounded(ms, expected), FORGET);
 }
 
 double
-engine_model_tokens_a_ms(const engine_model_t *m)
+engine_model_tokens_per_ms(const engine_model_t *m)
 {
     double at_zero = 0;
     double slope = 0;
@@ -89,5 +89,5 @@
     double at_zero = 0;
     double slope = 0;
     line_fit_get(&m->first, &at_zero, &slope);
-    return MAX(at_zero, 0) + tokens / engine_model_tokens_a_ms(m);
+    return MAX(at_zero, 0) + tokens / engine_model_tokens_per_ms(m);
 }
--- a/policy/engine_split.c
+++ b/policy/engine_split.c
@@ -27,7 +27,7 @@
 static const gint64 TARGET_DEFAULT_MS = 500;
 
 double
-engine_split_part(const engine_split_t *s)
+engine_split_long_fraction(const engine_split_t *s)
 {
     return s->at_us == 0 ? PART_AT_START : s->applied;
 }
@@ -43,9 +43,10 @@
         return 0;
     }
     double pause_ms = (double)load->pause_ms;
-    double most = pause_ms * d->tokens_a_ms / load->prompt_tokens;
+    double most = pause_ms * d->tokens_per_ms / load->prompt_tokens;
     double root = (sqrt(9 + 4 * most) - 3) / 2;
-    double needed = load->a_second * pause_ms / 1000 / MAX(root * root, 0.1);
+    double needed =
+        load->arrivals_per_s * pause_ms / 1000 / MAX(root * root, 0.1);
     return MIN(needed, PAUSES_MOST * d->engines);
 }
 
@@ -55,7 +56,7 @@
 {
     gint64 target_ms =
         load->target_ms > 0 ? load->target_ms : TARGET_DEFAULT_MS;
-    double read_in_time = d->tokens_a_ms * QUEUE_PART * (double)target_ms;
+    double read_in_time = d->tokens_per_ms * QUEUE_PART * (double)target_ms;
     double to_read = (double)load->waiting_tokens / read_in_time;
     double to_run = load->running / MAX(SLOTS_PART * d->slots, 1);
     double needed = MAX(MAX(to_read, to_run), engines_for_pauses(load, d));
@@ -67,13 +68,13 @@
 static double
 part_wanted(const split_demand_t *d)
 {
-    double of_long = engines_needed(&d->of_long, d);
-    double of_rest = engines_needed(&d->of_rest, d);
-    double part = of_long / (of_long + of_rest);
-    if (of_long + of_rest > d->engines && d->engines > 0) {
-        part = d->of_long.priority < d->of_rest.priority
-                   ? of_long / d->engines
-                   : 1 - of_rest / d->engines;
+    double long_prompts = engines_needed(&d->long_prompts, d);
+    double short_prompts = engines_needed(&d->short_prompts, d);
+    double part = long_prompts / (long_prompts + short_prompts);
+    if (long_prompts + short_prompts > d->engines && d->engines > 0) {
+        part = d->long_prompts.priority < d->short_prompts.priority
+                   ? long_prompts / d->engines
+                   : 1 - short_prompts / d->engines;
     }
     return CLAMP(part, PART_LEAST, PART_MOST);
 }
--- a/policy/keepers.c
+++ b/policy/keepers.c
@@ -6,11 +6,11 @@
 static const double SOURCE_FAILURES = 0.1;
 
 typedef struct {
-    keepers_t keepers;
-    guint64 ranks[KEEPERS_RANKED];
+    part_ranking_t keepers;
+    guint64 ranks[PART_RANKED_MAX];
     guint64 former_rank;
     guint64 leaving_rank;
-    guint64 holder_ranks[KEEPERS_HOLDERS];
+    guint64 holder_ranks[PART_SOURCES_MAX];
     guint64 prefix_rank;
 } ranking_t;
 
@@ -34,15 +34,15 @@
 static void
 rank_in(ranking_t *r, endpoint_t *e, guint64 rank)
 {
-    keepers_t *k = &r->keepers;
+    part_ranking_t *k = &r->keepers;
     guint at = k->count;
     while (at > 0 && rank > r->ranks[at - 1]) {
         at--;
     }
-    if (at == KEEPERS_RANKED) {
+    if (at == PART_RANKED_MAX) {
         return;
     }
-    k->count = MIN(k->count + 1, KEEPERS_RANKED);
+    k->count = MIN(k->count + 1, PART_RANKED_MAX);
     for (guint i = k->count - 1; i > at; i--) {
         k->at[i] = k->at[i - 1];
         r->ranks[i] = r->ranks[i - 1];
@@ -64,16 +64,17 @@
 note_holder(ranking_t *r, const endpoint_t *e, guint64 rank)
 {
     const endpoint_t **holders = r->keepers.holders;
-    guint at = KEEPERS_HOLDERS;
+    guint at = PART_SOURCES_MAX;
     while (at > 0 &&
            (holders[at - 1] == NULL || rank > r->holder_ranks[at - 1])) {
         at--;
     }
-    for (guint i = KEEPERS_HOLDERS - 1; at < KEEPERS_HOLDERS && i > at; i--) {
+    for (guint i = PART_SOURCES_MAX - 1; at < PART_SOURCES_MAX && i > at;
+         i--) {
         holders[i] = holders[i - 1];
         r->holder_ranks[i] = r->holder_ranks[i - 1];
     }
-    if (at < KEEPERS_HOLDERS) {
+    if (at < PART_SOURCES_MAX) {
         holders[at] = e;
         r->holder_ranks[at] = rank;
     }
@@ -94,9 +95,9 @@
     }
 }
 
-keepers_t
-keepers_of(const GPtrArray *endpoints, side_t side, guint64 part,
-           guint64 prefix, gint64 now_us)
+part_ranking_t
+part_ranking_build(const GPtrArray *endpoints, partition_t side, guint64 part,
+                   guint64 prefix, gint64 now_us)
 {
     ranking_t r = {0};
     for (guint i = 0; part != 0 && i < endpoints->len; i++) {
@@ -128,17 +129,18 @@
 }
 
 guint
-keepers_rank(const keepers_t *k, const endpoint_t *endpoint)
+part_ranking_position(const part_ranking_t *k, const endpoint_t *endpoint)
 {
     guint rank = 0;
     while (rank < k->count && k->at[rank] != endpoint) {
         rank++;
     }
-    return rank < k->count ? rank : KEEPERS_RANKED;
+    return rank < k->count ? rank : PART_RANKED_MAX;
 }
 
 const endpoint_t *
-keepers_source(const keepers_t *k, const endpoint_t *endpoint, gint64 now_us)
+part_ranking_source(const part_ranking_t *k, const endpoint_t *endpoint,
+                    gint64 now_us)
 {
     const endpoint_t *home = k->count > 0 ? k->at[0] : NULL;
     const endpoint_t *next = k->count > 1 ? k->at[1] : NULL;
--- a/policy/load_delta.c
+++ b/policy/load_delta.c
@@ -23,7 +23,7 @@
 }
 
 gboolean
-load_delta_waits(const load_delta_t *d)
+load_delta_is_pending(const load_delta_t *d)
 {
     return d->pending != NULL;
 }
@@ -84,7 +84,7 @@
 }
 
 void
-load_delta_taken(load_delta_t *d)
+load_delta_acknowledged(load_delta_t *d)
 {
     if (d->pending == NULL) {
         return;
--- a/policy/load_sum.c
+++ b/policy/load_sum.c
@@ -184,8 +184,9 @@
 }
 
 gboolean
-load_sum_change(load_sum_t *s, const char *instance, const GArray *changes,
-                guint64 sequence, guint64 base, gint64 now_us)
+load_sum_apply_changes(load_sum_t *s, const char *instance,
+                       const GArray *changes, guint64 sequence, guint64 base,
+                       gint64 now_us)
 {
     const report_t *known = g_hash_table_lookup(s->reports, instance);
     if (base != 0 && (known == NULL || known->sequence != base)) {
@@ -261,7 +262,7 @@
 }
 
 GArray *
-load_sum_told(load_sum_t *s, gint64 now_us)
+load_sum_busiest(load_sum_t *s, gint64 now_us)
 {
     gint64 pause_us = g_hash_table_size(s->sums) * (gint64)TOLD_US_AN_ENDPOINT;
     if (s->told != NULL &&
@@ -272,15 +273,15 @@
     s->told = load_sum_all(s);
     s->told_us = now_us;
     s->told_changed = FALSE;
-    if (s->told->len > LOADS_TOLD_MOST) {
+    if (s->told->len > BUSIEST_LOADS_MAX) {
         g_array_sort(s->told, compare_busier);
-        g_array_set_size(s->told, LOADS_TOLD_MOST);
+        g_array_set_size(s->told, BUSIEST_LOADS_MAX);
     }
     return g_array_ref(s->told);
 }
 
 gboolean
-load_sum_changed(load_sum_t *s)
+load_sum_clear_changed(load_sum_t *s)
 {
     gboolean changed = s->changed;
     s->changed = FALSE;
--- a/policy/part_feed.c
+++ b/policy/part_feed.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/part_feed.h"
 
 struct part_feed {
-    part_note_t notes[PART_FEED_MAX]; /* the one added as nth at n modulo */
+    part_copy_t notes[PART_FEED_MAX]; /* the one added as nth at n modulo */
     guint64 added;
 };
 
@@ -22,7 +22,7 @@
 {
     for (guint i = 0; i < notes->len; i++) {
         f->notes[f->added % PART_FEED_MAX] =
-            g_array_index(notes, part_note_t, i);
+            g_array_index(notes, part_copy_t, i);
         f->added++;
     }
 }
@@ -30,7 +30,7 @@
 GArray *
 part_feed_since(const part_feed_t *f, guint64 *heard)
 {
-    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_note_t));
+    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
     guint64 kept = MIN(f->added, PART_FEED_MAX);
     guint64 from = *heard <= f->added ? *heard : 0;
     from = MAX(from, f->added - kept);
--- a/policy/part_set.c
+++ b/policy/part_set.c
@@ -5,14 +5,14 @@
 void
 part_set_clear(part_set_t *s)
 {
-    g_clear_pointer(&s->places, g_free);
+    g_clear_pointer(&s->buckets, g_free);
     s->count = 0;
 }
 
 static guint64 *
 place_of(const part_set_t *s, guint64 part)
 {
-    return &s->places[part % s->count];
+    return &s->buckets[part % s->count];
 }
 
 /* Parts that had a place each have one each among twice as many. */
@@ -20,10 +20,10 @@
 set_grow(part_set_t *s)
 {
     part_set_t larger = {.count = s->count > 0 ? s->count * 2 : PLACES_FIRST};
-    larger.places = g_new0(guint64, larger.count);
+    larger.buckets = g_new0(guint64, larger.count);
     for (guint i = 0; i < s->count; i++) {
-        if (s->places[i] != 0) {
-            *place_of(&larger, s->places[i]) = s->places[i];
+        if (s->buckets[i] != 0) {
+            *place_of(&larger, s->buckets[i]) = s->buckets[i];
         }
     }
     part_set_clear(s);
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -86,7 +86,7 @@
 static const double PLAIN_SLOTS = 4.0;
 
 guint
-placement_unread(const endpoint_t *e, const placement_request_t *r)
+placement_unread_tokens(const endpoint_t *e, const placement_request_t *r)
 {
     /* A part was read after those before it. */
     guint known = r->part_count;
@@ -145,17 +145,17 @@
 }
 
 /* Which endpoints are for prompts like this. */
-static side_t
+static partition_t
 side_of(const GPtrArray *endpoints, const placement_request_t *r)
 {
     guint count = endpoints->len;
-    guint for_long = (guint)(r->long_part * count + 0.5);
-    if (!r->parted || for_long == 0 || for_long >= count) {
-        return (side_t){.from = 0, .to = count};
+    guint for_long = (guint)(r->long_fraction * count + 0.5);
+    if (!r->partitioned || for_long == 0 || for_long >= count) {
+        return (partition_t){.from = 0, .to = count};
     }
     return prompt_is_long(r->prompt_tokens)
-               ? (side_t){.from = 0, .to = for_long}
-               : (side_t){.from = for_long, .to = count};
+               ? (partition_t){.from = 0, .to = for_long}
+               : (partition_t){.from = for_long, .to = count};
 }
 
 /* How an endpoint stands to a request. */
@@ -171,7 +171,7 @@
            gboolean fetchable)
 {
     guint own = r->prompt_tokens - shared_tokens(r);
-    guint unread = placement_unread(e, r);
+    guint unread = placement_unread_tokens(e, r);
     s->read_tokens = unread;
     if (s->rank == 0) {
         s->read_tokens = MIN(unread, own);
@@ -189,10 +189,10 @@
 static guint
 running_at(const endpoint_t *e, const placement_request_t *r)
 {
-    if (r->unknown_sharers == 0) {
+    if (r->load_scale == 0) {
         return endpoint_running(e);
     }
-    return prompt_is_long(r->prompt_tokens) ? e->running * r->unknown_sharers
+    return prompt_is_long(r->prompt_tokens) ? e->running * r->load_scale
                                             : e->running;
 }
 
@@ -200,8 +200,8 @@
 static guint64
 tokens_at(const endpoint_t *e, const placement_request_t *r)
 {
-    return r->unknown_sharers > 0
-               ? (guint64)e->prompt_tokens * r->unknown_sharers
+    return r->load_scale > 0
+               ? (guint64)e->prompt_tokens * r->load_scale
                : (guint64)e->prompt_tokens + e->others.prompt_tokens;
 }
 
@@ -210,8 +210,8 @@
 rest_at(const endpoint_t *e)
 {
     guint running = endpoint_running(e);
-    guint of_long = e->long_running + e->others.long_running;
-    return running - MIN(running, of_long);
+    guint long_prompts = e->long_running + e->others.long_running;
+    return running - MIN(running, long_prompts);
 }
 
 /* Requests of all instances there, in parts of its slots. */
@@ -226,8 +226,9 @@
 static gboolean
 stalls(const placement_request_t *r, double tokens)
 {
-    return r->rest_pause_ms > 0 &&
-           tokens > STALL_PART * (double)r->rest_pause_ms * r->tokens_a_ms;
+    return r->short_prompt_pause_ms > 0 &&
+           tokens > STALL_PART * (double)r->short_prompt_pause_ms *
+                        r->tokens_per_ms;
 }
 
 /* The part of its slots that long prompts may take. Away from where its shared
@@ -244,7 +245,7 @@
     if (!standing.on_side) {
         return LONG_OFF_SIDE_SLOTS;
     }
-    if (standing.rank >= KEEPERS_MAX) {
+    if (standing.rank >= PART_HOMES_MAX) {
         return LONG_AWAY_SLOTS;
     }
     /* As if it were a typical prompt: a large one must not find every engine
@@ -253,7 +254,7 @@
         r->long_tokens > 0 ? r->long_tokens / r->prompt_tokens : 1;
     double read_tokens = standing.read_tokens * MIN(typical, 1);
     double in_time =
-        (double)r->target_ms * r->tokens_a_ms / MAX(read_tokens, 1);
+        (double)r->target_ms * r->tokens_per_ms / MAX(read_tokens, 1);
     return CLAMP(in_time / e->slots, LONG_AWAY_SLOTS, LONG_HOME_SLOTS);
 }
 
@@ -288,7 +289,7 @@
     if (standing.rank == 0) {
         return 0;
     }
-    return standing.rank < KEEPERS_MAX ? LONG_KEEPER_PART : LONG_AWAY_PART;
+    return standing.rank < PART_HOMES_MAX ? LONG_KEEPER_PART : LONG_AWAY_PART;
 }
 
 /* What sending the request to an engine costs, in ms of its own waiting and of
@@ -304,23 +305,23 @@
     double reread =
         standing.read_tokens > own ? standing.read_tokens - own : 0;
     double ms =
-        (double)(e->waiting_tokens + standing.read_tokens) / r->tokens_a_ms;
+        (double)(e->waiting_tokens + standing.read_tokens) / r->tokens_per_ms;
     if (prompt_is_long(r->prompt_tokens)) {
-        ms += e->others.waiting_tokens / r->tokens_a_ms;
+        ms += e->others.waiting_tokens / r->tokens_per_ms;
         ms += away_part(standing) * (double)r->target_ms;
         ms += rest_at(e) * LONG_AT_REST_PART * (double)r->target_ms;
     }
     else {
         ms += stalls(r, endpoint_waiting(e)) ? SHORT_STALLED_MS : 0;
         ms += SHORT_FULL_MS * MAX(fullness(e) - SHORT_FULL_FROM, 0);
-        if (standing.rank >= KEEPERS_MAX) {
+        if (standing.rank >= PART_HOMES_MAX) {
             ms += SHORT_AWAY_PART * REREAD_WEIGHT * shared_tokens(r) /
-                  r->tokens_a_ms;
+                  r->tokens_per_ms;
         }
     }
-    ms += reread * (REREAD_WEIGHT - 1) / r->tokens_a_ms;
+    ms += reread * (REREAD_WEIGHT - 1) / r->tokens_per_ms;
     if (standing.fetch_tokens > 0) {
-        ms += standing.fetch_tokens / r->fetch_tokens_a_ms * FETCH_WEIGHT;
+        ms += standing.fetch_tokens / r->fetch_tokens_per_ms * FETCH_WEIGHT;
     }
     ms += e->running * RUNNING_ENGINE_MS;
     if (!standing.on_side) {
@@ -343,7 +344,7 @@
 near_enough(const endpoint_t *e, const placement_request_t *r,
             standing_t standing)
 {
-    gboolean keeps = r->part_count >= 2 && standing.rank < KEEPERS_MAX;
+    gboolean keeps = r->part_count >= 2 && standing.rank < PART_HOMES_MAX;
     return keeps || g_strcmp0(e->data_centre, r->data_centre) == 0;
 }
 
@@ -377,7 +378,7 @@
         why = &counts->full;
     }
     else if (!has_place(e, r, standing)) {
-        why = &counts->no_place;
+        why = &counts->no_slot;
     }
     if (why != NULL) {
         (*why)++;
@@ -396,7 +397,7 @@
 gboolean
 placement_is_limited(const placement_counts_t *c)
 {
-    return c->limited > 0 && c->limited >= c->no_place;
+    return c->limited > 0 && c->limited >= c->no_slot;
 }
 
 const char *
@@ -408,7 +409,7 @@
     if (placement_is_limited(c)) {
         return "the limits that the endpoints named are spent";
     }
-    if (c->no_place >= c->full + c->tried) {
+    if (c->no_slot >= c->full + c->tried) {
         return "all places are taken";
     }
     return c->full >= c->tried ? "the endpoints refuse"
@@ -432,7 +433,7 @@
  * after failures. */
 typedef struct {
     const placement_request_t *request;
-    keepers_t keepers; /* of the request's shared parts */
+    part_ranking_t keepers; /* of the request's shared parts */
     gboolean closed;
     gint64 now_us;
     placement_t best;
@@ -446,7 +447,7 @@
     /* A prompt that shares no part is at home anywhere on its side. */
     gboolean anywhere = c->keepers.count == 0 && on_side;
     return (standing_t){
-        .rank = anywhere ? 0 : keepers_rank(&c->keepers, e),
+        .rank = anywhere ? 0 : part_ranking_position(&c->keepers, e),
         .on_side = on_side,
     };
 }
@@ -455,8 +456,8 @@
 static const endpoint_t *
 choice_source(const choice_t *c, const endpoint_t *e)
 {
-    return c->request->fetch_tokens_a_ms > 0
-               ? keepers_source(&c->keepers, e, c->now_us)
+    return c->request->fetch_tokens_per_ms > 0
+               ? part_ranking_source(&c->keepers, e, c->now_us)
                : NULL;
 }
 
@@ -525,7 +526,7 @@
  * where `blind`, those that can not count among them: an endpoint that is the
  * only idle one of many is then not found by all instances at once. */
 static void
-choice_draw(choice_t *c, const GPtrArray *endpoints, side_t side,
+choice_draw(choice_t *c, const GPtrArray *endpoints, partition_t side,
             gboolean on_side, guint most, gboolean blind)
 {
     guint drawn = 0;
@@ -535,7 +536,7 @@
         endpoint_t *e = endpoints->pdata[at];
         standing_t standing = standing_of(c, e, on_side);
         gboolean ranked =
-            c->keepers.count > 0 && standing.rank < KEEPERS_RANKED;
+            c->keepers.count > 0 && standing.rank < PART_RANKED_MAX;
         if (!ranked) {
             drawn += choice_consider(c, e, standing) || blind;
         }
@@ -544,7 +545,7 @@
 
 /* Nothing was found: says of all endpoints why they could not take it. */
 static void
-choice_count(choice_t *c, const GPtrArray *endpoints, side_t side)
+choice_count(choice_t *c, const GPtrArray *endpoints, partition_t side)
 {
     c->best.counts = (placement_counts_t){.known = endpoints->len};
     for (guint i = 0; i < endpoints->len; i++) {
@@ -557,35 +558,36 @@
     }
 }
 
-static side_t
-side_beyond(side_t side, guint count)
+static partition_t
+side_beyond(partition_t side, guint count)
 {
-    return side.from == 0 ? (side_t){.from = side.to, .to = count}
-                          : (side_t){.from = 0, .to = side.from};
+    return side.from == 0 ? (partition_t){.from = side.to, .to = count}
+                          : (partition_t){.from = 0, .to = side.from};
 }
 
 static placement_t
 pick_among(const GPtrArray *endpoints, const placement_request_t *r,
            gboolean closed, gint64 now_us)
 {
-    side_t side = side_of(endpoints, r);
+    partition_t side = side_of(endpoints, r);
     choice_t c = {
         .request = r,
-        .keepers = keepers_of(endpoints, side, placement_shared_part(r).id,
-                              placement_prefix_part(r).id, now_us),
+        .keepers =
+            part_ranking_build(endpoints, side, placement_shared_part(r).id,
+                               placement_prefix_part(r).id, now_us),
         .closed = closed,
         .now_us = now_us,
         .best = {.counts = {.known = endpoints->len}},
     };
     gboolean is_long = prompt_is_long(r->prompt_tokens);
     gboolean leaves = is_long && c.keepers.count > 0;
-    c.best.prefix_held = c.keepers.prefix_holder != NULL;
+    c.best.prefix_cached = c.keepers.prefix_holder != NULL;
     choice_rank(&c);
     if (c.best.endpoint == NULL ||
         c.best_ms > RANKED_PART * (double)r->target_ms) {
         choice_draw(&c, endpoints, side, TRUE, sample_most(r), leaves);
         if (is_long || c.best.endpoint == NULL) {
-            side_t beyond = side_beyond(side, endpoints->len);
+            partition_t beyond = side_beyond(side, endpoints->len);
             choice_draw(&c, endpoints, beyond, FALSE, sample_most(r), FALSE);
         }
     }
--- a/policy/prompt_mix.c
+++ b/policy/prompt_mix.c
@@ -35,7 +35,7 @@
 }
 
 static void
-note_kind(prompt_kind_t *kind, prompt_note_t note, gint64 now_us)
+note_kind(prompt_kind_t *kind, prompt_sample_t note, gint64 now_us)
 {
     gboolean first = kind->at_us == 0;
     double kept = first ? 0 : remembered(kind, now_us);
@@ -51,33 +51,33 @@
 }
 
 void
-prompt_mix_note(prompt_mix_t *mix, prompt_note_t note, gint64 now_us)
+prompt_mix_record(prompt_mix_t *mix, prompt_sample_t note, gint64 now_us)
 {
     if (mix->first_us == 0) {
         mix->first_us = now_us;
     }
     if (prompt_is_long(note.prompt_tokens)) {
-        note_kind(&mix->of_long, note, now_us);
+        note_kind(&mix->long_prompts, note, now_us);
         return;
     }
-    note_kind(&mix->of_rest, note, now_us);
-    if (note.pause_ms > 0 &&
-        (mix->rest_pause_ms == 0 || note.pause_ms < mix->rest_pause_ms)) {
-        mix->rest_pause_ms = note.pause_ms;
+    note_kind(&mix->short_prompts, note, now_us);
+    if (note.pause_ms > 0 && (mix->short_prompt_pause_ms == 0 ||
+                              note.pause_ms < mix->short_prompt_pause_ms)) {
+        mix->short_prompt_pause_ms = note.pause_ms;
     }
 }
 
 double
 prompt_mix_long_tokens(const prompt_mix_t *mix)
 {
-    return mix->of_long.mean_tokens;
+    return mix->long_prompts.mean_tokens;
 }
 
 gboolean
-prompt_mix_parted(const prompt_mix_t *mix, gint64 now_us)
+prompt_mix_needs_partition(const prompt_mix_t *mix, gint64 now_us)
 {
-    if (mix->of_long.at_us != 0) {
-        return now_us - mix->of_long.at_us < LONG_REMEMBERED_US;
+    if (mix->long_prompts.at_us != 0) {
+        return now_us - mix->long_prompts.at_us < LONG_REMEMBERED_US;
     }
     return now_us - mix->first_us < LONG_UNKNOWN_US;
 }
@@ -89,16 +89,16 @@
     double arrivals = kind->arrivals * remembered(kind, now_us);
     load->target_ms = kind->target_ms;
     load->priority = kind->priority;
-    load->a_second = instances * arrivals / ARRIVALS_S;
+    load->arrivals_per_s = instances * arrivals / ARRIVALS_S;
     load->prompt_tokens =
         kind->arrivals > 0 ? kind->tokens / kind->arrivals : 0;
 }
 
 void
-prompt_mix_fill(const prompt_mix_t *mix, guint instances, gint64 now_us,
-                split_demand_t *demand)
+prompt_mix_fill_demand(const prompt_mix_t *mix, guint instances, gint64 now_us,
+                       split_demand_t *demand)
 {
-    fill_kind(&mix->of_long, instances, now_us, &demand->of_long);
-    fill_kind(&mix->of_rest, instances, now_us, &demand->of_rest);
-    demand->of_rest.pause_ms = mix->rest_pause_ms;
+    fill_kind(&mix->long_prompts, instances, now_us, &demand->long_prompts);
+    fill_kind(&mix->short_prompts, instances, now_us, &demand->short_prompts);
+    demand->short_prompts.pause_ms = mix->short_prompt_pause_ms;
 }
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -66,7 +66,7 @@
         for (guint64 part = 1; part <= parts; part++) {
             directory_note_part(d, e, part);
         }
-        bytes += e->parts.count * sizeof(*e->parts.places);
+        bytes += e->parts.count * sizeof(*e->parts.buckets);
     }
     directory_destroy(d);
     return bytes;
@@ -144,7 +144,7 @@
         CU_ASSERT_EQUAL(own->len, 1);
         directory_take_loads(d, sums, own);
         split_demand_t demand = directory_demand(d, "s", i * REPORT_US);
-        CU_ASSERT_EQUAL(demand.of_rest.running, 2 * BUSY);
+        CU_ASSERT_EQUAL(demand.short_prompts.running, 2 * BUSY);
         CU_ASSERT_EQUAL(demand.engines, endpoints);
         g_array_unref(own);
     }
--- a/tests/test_engine_split.c
+++ b/tests/test_engine_split.c
@@ -15,7 +15,7 @@
     for (gint64 ms = 0; ms <= 10000; ms += 200) {
         engine_split_update(&split, &demand, SECOND + ms * 1000);
     }
-    return engine_split_part(&split);
+    return engine_split_long_fraction(&split);
 }
 
 /* The more urgent kind gets the engines that it needs, whatever the other one
@@ -25,8 +25,8 @@
 {
     static const struct {
         const char *name;
-        kind_load_t of_long;
-        kind_load_t of_rest;
+        kind_load_t long_prompts;
+        kind_load_t short_prompts;
         double least;
         double most;
     } SPLITS[] = {
@@ -60,7 +60,7 @@
          {.running = 20,
           .target_ms = 600,
           .pause_ms = 200,
-          .a_second = 42,
+          .arrivals_per_s = 42,
           .prompt_tokens = 2500},
          0.55,
          0.68},
@@ -72,7 +72,7 @@
          {.running = 20,
           .target_ms = 600,
           .pause_ms = 200,
-          .a_second = 42,
+          .arrivals_per_s = 42,
           .prompt_tokens = 250},
          0.75,
          0.86},
@@ -88,9 +88,9 @@
     for (gsize i = 0; i < G_N_ELEMENTS(SPLITS); i++) {
         split_demand_t demand = {.engines = 12,
                                  .slots = 64,
-                                 .tokens_a_ms = 60,
-                                 .of_long = SPLITS[i].of_long,
-                                 .of_rest = SPLITS[i].of_rest};
+                                 .tokens_per_ms = 60,
+                                 .long_prompts = SPLITS[i].long_prompts,
+                                 .short_prompts = SPLITS[i].short_prompts};
         double part = part_after(demand);
         CU_ASSERT(part >= SPLITS[i].least && part <= SPLITS[i].most);
     }
@@ -102,16 +102,16 @@
 {
     engine_split_t split = {0};
     guint moves = 0;
-    CU_ASSERT_EQUAL(engine_split_part(&split), 0.6);
+    CU_ASSERT_EQUAL(engine_split_long_fraction(&split), 0.6);
     for (guint i = 0; i < 100; i++) {
         split_demand_t demand = {
-            .engines = 12, .slots = 64, .tokens_a_ms = 60};
-        demand.of_long.waiting_tokens = i % 2 ? 17000 : 19000;
-        demand.of_long.target_ms = 500;
-        demand.of_rest.running = 50;
-        double before = engine_split_part(&split);
+            .engines = 12, .slots = 64, .tokens_per_ms = 60};
+        demand.long_prompts.waiting_tokens = i % 2 ? 17000 : 19000;
+        demand.long_prompts.target_ms = 500;
+        demand.short_prompts.running = 50;
+        double before = engine_split_long_fraction(&split);
         engine_split_update(&split, &demand, SECOND + i * SECOND / 5);
-        moves += engine_split_part(&split) != before;
+        moves += engine_split_long_fraction(&split) != before;
     }
     CU_ASSERT(moves <= 2);
 }
@@ -123,7 +123,7 @@
 {
     static const struct {
         double first_ms; /* before the first event, without any prompt */
-        double tokens_a_ms;
+        double tokens_per_ms;
     } ENGINE_KINDS[] = {{5, 30}, {60, 60}, {2, 200}};
     for (gsize i = 0; i < G_N_ELEMENTS(ENGINE_KINDS); i++) {
         engine_model_t model;
@@ -131,12 +131,12 @@
         for (guint n = 0; n < 400; n++) {
             double tokens = 500 + (n * 977) % 20000;
             double first = ENGINE_KINDS[i].first_ms +
-                           tokens / ENGINE_KINDS[i].tokens_a_ms;
-            engine_model_note_first(&model, tokens,
-                                    n % 50 == 0 ? 10000 : first);
+                           tokens / ENGINE_KINDS[i].tokens_per_ms;
+            engine_model_record_first(&model, tokens,
+                                      n % 50 == 0 ? 10000 : first);
         }
         double expected =
-            ENGINE_KINDS[i].first_ms + 10000 / ENGINE_KINDS[i].tokens_a_ms;
+            ENGINE_KINDS[i].first_ms + 10000 / ENGINE_KINDS[i].tokens_per_ms;
         CU_ASSERT_DOUBLE_EQUAL(engine_model_first_ms(&model, 10000), expected,
                                0.15 * expected);
     }
@@ -151,7 +151,7 @@
         guint tokens[2]; /* of two requests */
         gint64 at_s[2];  /* when they come */
         gint64 asked_s;
-        gboolean parted;
+        gboolean partitioned;
     } CASES[] = {
         {{800, 800}, {1, 2}, 2, TRUE},     {{800, 800}, {1, 12}, 12, FALSE},
         {{800, 9000}, {1, 12}, 12, TRUE},  {{9000, 800}, {1, 30}, 30, TRUE},
@@ -159,14 +159,15 @@
     };
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
         prompt_mix_t mix = {0};
-        prompt_mix_note(&mix,
-                        (prompt_note_t){.prompt_tokens = CASES[i].tokens[0]},
-                        CASES[i].at_s[0] * SECOND);
-        prompt_mix_note(&mix,
-                        (prompt_note_t){.prompt_tokens = CASES[i].tokens[1]},
-                        CASES[i].at_s[1] * SECOND);
-        CU_ASSERT_EQUAL(prompt_mix_parted(&mix, CASES[i].asked_s * SECOND),
-                        CASES[i].parted);
+        prompt_mix_record(
+            &mix, (prompt_sample_t){.prompt_tokens = CASES[i].tokens[0]},
+            CASES[i].at_s[0] * SECOND);
+        prompt_mix_record(
+            &mix, (prompt_sample_t){.prompt_tokens = CASES[i].tokens[1]},
+            CASES[i].at_s[1] * SECOND);
+        CU_ASSERT_EQUAL(
+            prompt_mix_needs_partition(&mix, CASES[i].asked_s * SECOND),
+            CASES[i].partitioned);
     }
 }
 
@@ -179,21 +180,21 @@
     split_demand_t demand = {0};
     gint64 now_us = SECOND;
     for (guint i = 0; i < 100; i++) {
-        prompt_note_t note = {.prompt_tokens = i % 2 ? 600 : 1000,
-                              .target_ms = 300,
-                              .pause_ms = 250,
-                              .priority = i % 4};
+        prompt_sample_t note = {.prompt_tokens = i % 2 ? 600 : 1000,
+                                .target_ms = 300,
+                                .pause_ms = 250,
+                                .priority = i % 4};
         now_us += SECOND / 10;
-        prompt_mix_note(&mix, note, now_us);
+        prompt_mix_record(&mix, note, now_us);
     }
-    prompt_mix_fill(&mix, 4, now_us, &demand);
-    CU_ASSERT_DOUBLE_EQUAL(demand.of_rest.a_second, 40, 2);
-    CU_ASSERT_DOUBLE_EQUAL(demand.of_rest.prompt_tokens, 800, 20);
-    CU_ASSERT_EQUAL(demand.of_rest.priority, 0);
-    CU_ASSERT_EQUAL(demand.of_rest.pause_ms, 250);
-    CU_ASSERT_EQUAL(demand.of_long.a_second, 0);
-    prompt_mix_fill(&mix, 4, now_us + 10 * SECOND, &demand);
-    CU_ASSERT(demand.of_rest.a_second < 1);
+    prompt_mix_fill_demand(&mix, 4, now_us, &demand);
+    CU_ASSERT_DOUBLE_EQUAL(demand.short_prompts.arrivals_per_s, 40, 2);
+    CU_ASSERT_DOUBLE_EQUAL(demand.short_prompts.prompt_tokens, 800, 20);
+    CU_ASSERT_EQUAL(demand.short_prompts.priority, 0);
+    CU_ASSERT_EQUAL(demand.short_prompts.pause_ms, 250);
+    CU_ASSERT_EQUAL(demand.long_prompts.arrivals_per_s, 0);
+    prompt_mix_fill_demand(&mix, 4, now_us + 10 * SECOND, &demand);
+    CU_ASSERT(demand.short_prompts.arrivals_per_s < 1);
 }
 
 static const test_case_t CASES[] = {
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -98,9 +98,9 @@
 static GArray *
 parts_of(guint64 first, guint count)
 {
-    GArray *parts = g_array_new(FALSE, FALSE, sizeof(part_note_t));
+    GArray *parts = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
     for (guint64 i = first; i < first + count; i++) {
-        part_note_t note = {.part = i, .endpoint = 77};
+        part_copy_t note = {.part = i, .endpoint = 77};
         g_array_append_val(parts, note);
     }
     return parts;
@@ -111,7 +111,7 @@
 {
     CU_ASSERT_EQUAL_FATAL(parts->len, count);
     for (guint i = 0; i < count; i++) {
-        const part_note_t *note = &g_array_index(parts, part_note_t, i);
+        const part_copy_t *note = &g_array_index(parts, part_copy_t, i);
         CU_ASSERT_EQUAL(note->part, first + i);
         CU_ASSERT_EQUAL(note->endpoint, 77);
     }
@@ -337,13 +337,13 @@
     report(sum, "a", 3, 0);
     report(sum, "b", 4, 100 * MS);
     CU_ASSERT_EQUAL(running_in(sum), 7);
-    CU_ASSERT(load_sum_changed(sum));
-    CU_ASSERT_FALSE(load_sum_changed(sum));
+    CU_ASSERT(load_sum_clear_changed(sum));
+    CU_ASSERT_FALSE(load_sum_clear_changed(sum));
     report(sum, "a", 1, 200 * MS);
     CU_ASSERT_EQUAL(running_in(sum), 5);
     load_sum_expire(sum, 150 * MS); /* b fell silent */
     CU_ASSERT_EQUAL(running_in(sum), 1);
-    CU_ASSERT(load_sum_changed(sum));
+    CU_ASSERT(load_sum_clear_changed(sum));
     CU_ASSERT_EQUAL(load_sum_reporters(sum), 1);
     load_sum_destroy(sum);
 }
@@ -550,10 +550,10 @@
     load_delta_sent(t->delta, loads, ++t->sequence, 0);
     t->told += changes->len;
     gboolean taken =
-        way != WAY_LOST &&
-        load_sum_change(t->seen, "a", changes, t->sequence, base, SECOND);
+        way != WAY_LOST && load_sum_apply_changes(t->seen, "a", changes,
+                                                  t->sequence, base, SECOND);
     if (taken && way == WAY_GOOD) {
-        load_delta_taken(t->delta);
+        load_delta_acknowledged(t->delta);
     }
     else {
         load_delta_lost(t->delta);
@@ -629,15 +629,15 @@
 {
     load_sum_t *s = load_sum_create();
     GArray *loads = loads_of(77, 3);
-    CU_ASSERT_FALSE(load_sum_change(s, "a", loads, 2, 1, SECOND));
+    CU_ASSERT_FALSE(load_sum_apply_changes(s, "a", loads, 2, 1, SECOND));
     CU_ASSERT_EQUAL(running_in(s), 0);
-    CU_ASSERT(load_sum_change(s, "a", loads, 1, 0, SECOND));
-    CU_ASSERT_FALSE(load_sum_change(s, "a", loads, 3, 2, SECOND));
-    CU_ASSERT(load_sum_change(s, "a", loads, 2, 1, SECOND));
+    CU_ASSERT(load_sum_apply_changes(s, "a", loads, 1, 0, SECOND));
+    CU_ASSERT_FALSE(load_sum_apply_changes(s, "a", loads, 3, 2, SECOND));
+    CU_ASSERT(load_sum_apply_changes(s, "a", loads, 2, 1, SECOND));
     CU_ASSERT_EQUAL(running_in(s), 3);
     load_sum_expire(s, 2 * SECOND);
     CU_ASSERT_EQUAL(running_in(s), 0);
-    CU_ASSERT_FALSE(load_sum_change(s, "a", loads, 3, 2, SECOND));
+    CU_ASSERT_FALSE(load_sum_apply_changes(s, "a", loads, 3, 2, SECOND));
     g_array_unref(loads);
     load_sum_destroy(s);
 }
@@ -682,9 +682,9 @@
         guint told;
     } COUNTS[] = {{0, 0},
                   {1, 1},
-                  {LOADS_TOLD_MOST, LOADS_TOLD_MOST},
-                  {LOADS_TOLD_MOST + 1, LOADS_TOLD_MOST},
-                  {10 * LOADS_TOLD_MOST, LOADS_TOLD_MOST}};
+                  {BUSIEST_LOADS_MAX, BUSIEST_LOADS_MAX},
+                  {BUSIEST_LOADS_MAX + 1, BUSIEST_LOADS_MAX},
+                  {10 * BUSIEST_LOADS_MAX, BUSIEST_LOADS_MAX}};
     for (gsize i = 0; i < G_N_ELEMENTS(COUNTS); i++) {
         load_sum_t *s = load_sum_create();
         GArray *loads = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
@@ -693,7 +693,7 @@
             g_array_append_val(loads, load);
         }
         load_sum_report(s, "a", loads, SECOND);
-        GArray *told = load_sum_told(s, SECOND);
+        GArray *told = load_sum_busiest(s, SECOND);
         CU_ASSERT_EQUAL(told->len, COUNTS[i].told);
         for (guint n = 0; n < told->len; n++) {
             const endpoint_load_t *l =
@@ -713,22 +713,22 @@
 {
     load_sum_t *s = load_sum_create();
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
-    for (guint n = 1; n <= LOADS_TOLD_MOST; n++) {
+    for (guint n = 1; n <= BUSIEST_LOADS_MAX; n++) {
         endpoint_load_t load = {.endpoint = n, .running = 3};
         g_array_append_val(loads, load);
     }
     load_sum_report(s, "a", loads, SECOND);
-    g_array_unref(load_sum_told(s, SECOND));
+    g_array_unref(load_sum_busiest(s, SECOND));
     GArray *waits = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
     endpoint_load_t load = {
         .endpoint = 9999, .running = 1, .waiting_tokens = 7000};
     g_array_append_val(waits, load);
     load_sum_report(s, "b", waits, SECOND);
-    GArray *told = load_sum_told(s, SECOND + MS);
+    GArray *told = load_sum_busiest(s, SECOND + MS);
     CU_ASSERT(g_array_index(told, endpoint_load_t, 0).endpoint != 9999);
     g_array_unref(told);
-    told = load_sum_told(s, SECOND + 50 * MS);
-    CU_ASSERT_EQUAL(told->len, LOADS_TOLD_MOST);
+    told = load_sum_busiest(s, SECOND + 50 * MS);
+    CU_ASSERT_EQUAL(told->len, BUSIEST_LOADS_MAX);
     CU_ASSERT_EQUAL(g_array_index(told, endpoint_load_t, 0).endpoint, 9999);
     g_array_unref(told);
     g_array_unref(loads);
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -34,13 +34,13 @@
     guint tokens;
     guint64 shared; /* id of the shared part; 0: none */
     guint shared_tokens;
-    gboolean parted;
+    gboolean partitioned;
     guint32 draw;
-    guint unknown_sharers;
-    double fetch_tokens_a_ms;
+    guint load_scale;
+    double fetch_tokens_per_ms;
     gint64 memory_tokens;
-    double long_part; /* 0: 0.6 */
-    gint64 target_ms; /* 0: 2000 */
+    double long_fraction; /* 0: 0.6 */
+    gint64 target_ms;     /* 0: 2000 */
     double long_tokens;
     gboolean yields;
 } place_case_t;
@@ -54,14 +54,14 @@
         .parts = parts,
         .part_count = c.shared != 0 ? 2 : 0,
         .prompt_tokens = c.tokens,
-        .parted = c.parted,
-        .long_part = c.long_part > 0 ? c.long_part : 0.6,
+        .partitioned = c.partitioned,
+        .long_fraction = c.long_fraction > 0 ? c.long_fraction : 0.6,
         .long_tokens = c.long_tokens,
         .target_ms = c.target_ms > 0 ? c.target_ms : 2000,
-        .rest_pause_ms = 250,
-        .tokens_a_ms = 50,
-        .unknown_sharers = c.unknown_sharers,
-        .fetch_tokens_a_ms = c.fetch_tokens_a_ms,
+        .short_prompt_pause_ms = 250,
+        .tokens_per_ms = 50,
+        .load_scale = c.load_scale,
+        .fetch_tokens_per_ms = c.fetch_tokens_per_ms,
         .memory_tokens = c.memory_tokens,
         .data_centre = "dc",
         .yields = c.yields,
@@ -72,12 +72,12 @@
 
 static endpoint_t *
 place(directory_t *d, guint tokens, guint64 shared, guint shared_tokens,
-      gboolean parted, guint32 draw)
+      gboolean partitioned, guint32 draw)
 {
     place_case_t c = {.tokens = tokens,
                       .shared = shared,
                       .shared_tokens = shared_tokens,
-                      .parted = parted,
+                      .partitioned = partitioned,
                       .draw = draw};
     return place_of(d, c).endpoint;
 }
@@ -183,11 +183,13 @@
     CU_ASSERT(taken < 500);
     CU_ASSERT(taken >= ENGINES * SLOTS / 4);
     CU_ASSERT_PTR_NULL(place(d, 12000, 3, 5000, TRUE, 9));
-    place_case_t refused = {
-        .tokens = 12000, .shared = 3, .shared_tokens = 5000, .parted = TRUE};
+    place_case_t refused = {.tokens = 12000,
+                            .shared = 3,
+                            .shared_tokens = 5000,
+                            .partitioned = TRUE};
     placement_counts_t counts = place_of(d, refused).counts;
     CU_ASSERT_EQUAL(counts.known, ENGINES);
-    CU_ASSERT_EQUAL(counts.no_place, ENGINES);
+    CU_ASSERT_EQUAL(counts.no_slot, ENGINES);
     CU_ASSERT_STRING_EQUAL(placement_reason(&counts), "all places are taken");
     CU_ASSERT_PTR_NOT_NULL(place(d, 800, 0, 0, TRUE, 9));
     directory_destroy(d);
@@ -203,11 +205,11 @@
     place_case_t c = {.tokens = 12000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
+                      .partitioned = TRUE,
                       .draw = 3};
     endpoint_t *home = place_of(d, c).endpoint;
     CU_ASSERT_PTR_NULL(place_of(d, c).source); /* engines that do not fetch */
-    c.fetch_tokens_a_ms = LINK;
+    c.fetch_tokens_per_ms = LINK;
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
     home->running = SLOTS;
@@ -233,7 +235,7 @@
     directory_t *d = engines_create();
     guint taken = 0;
     for (guint32 n = 0; n < 1000; n++) {
-        place_case_t c = {.tokens = 12000, .parted = TRUE, .draw = n};
+        place_case_t c = {.tokens = 12000, .partitioned = TRUE, .draw = n};
         endpoint_t *e = place_of(d, c).endpoint;
         if (e != NULL) {
             endpoint_join(e, 12000, 0);
@@ -259,7 +261,7 @@
             place_case_t c = {.tokens = TOKENS[i],
                               .shared = 1 + n % 40,
                               .shared_tokens = 5000,
-                              .parted = TRUE,
+                              .partitioned = TRUE,
                               .draw = n,
                               .memory_tokens = MEMORY};
             endpoint_t *e = place_of(d, c).endpoint;
@@ -299,9 +301,9 @@
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .memory_tokens = MEMORY,
-                          .unknown_sharers = MEMORIES[i].sharers};
+                          .load_scale = MEMORIES[i].sharers};
         endpoint_t *home = place_of(d, c).endpoint;
         endpoint_join(home, OWN, 0);
         home->others.prompt_tokens = MEMORIES[i].others;
@@ -328,8 +330,8 @@
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
-                          .fetch_tokens_a_ms = 800};
+                          .partitioned = TRUE,
+                          .fetch_tokens_per_ms = 800};
         endpoint_t *home = place_of(d, c).endpoint;
         endpoint_load_t sum = {.endpoint = home->hash,
                                .running = 5,
@@ -364,9 +366,9 @@
         place_case_t c = {.tokens = 12000,
                           .shared = 1 + n % 40,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .draw = n,
-                          .unknown_sharers = INSTANCES};
+                          .load_scale = INSTANCES};
         endpoint_t *e = place_of(seen[n % INSTANCES], c).endpoint;
         if (e != NULL) {
             endpoint_join(e, 12000, 0);
@@ -445,9 +447,9 @@
     place_case_t c = {.tokens = 12000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
+                      .partitioned = TRUE,
                       .target_ms = 500,
-                      .fetch_tokens_a_ms = 800};
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     home->running = 20; /* streams that are not long */
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
@@ -479,9 +481,9 @@
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .target_ms = OBJECTIVES[i].target_ms,
-                          .fetch_tokens_a_ms = 800};
+                          .fetch_tokens_per_ms = 800};
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
         home->long_running = SLOTS;
@@ -505,15 +507,15 @@
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 12000,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
-                      .fetch_tokens_a_ms = 800};
+                      .partitioned = TRUE,
+                      .fetch_tokens_per_ms = 800};
     guint moved = 0;
     for (guint64 part = 1; part <= 60; part++) {
         c.shared = part;
-        c.long_part = 0.9;
+        c.long_fraction = 0.9;
         endpoint_t *before = place_of(d, c).endpoint;
         directory_note_part(d, before, part);
-        c.long_part = 0.3;
+        c.long_fraction = 0.3;
         placement_t after = place_of(d, c);
         if (after.endpoint != before) {
             CU_ASSERT_PTR_EQUAL(after.source, before);
@@ -535,8 +537,8 @@
         place_case_t c = {.tokens = LARGE,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
-                          .fetch_tokens_a_ms = 800,
+                          .partitioned = TRUE,
+                          .fetch_tokens_per_ms = 800,
                           .long_tokens = known ? TYPICAL : 0};
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
@@ -560,7 +562,7 @@
     place_case_t c = {.tokens = 9000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .fetch_tokens_a_ms = 800};
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     endpoint_lease_t lease = lease_of(home->id, 2, LEASE_DRAINING);
     lease.slots = SLOTS;
@@ -587,15 +589,15 @@
     place_case_t c = {.tokens = 9000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
-                      .long_part = 0.5,
-                      .fetch_tokens_a_ms = 800};
+                      .partitioned = TRUE,
+                      .long_fraction = 0.5,
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     const GPtrArray *list = directory_service(d, "s");
     endpoint_t *holder = list->pdata[list->len - 1];
     CU_ASSERT_PTR_NOT_EQUAL(holder, home);
-    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_note_t));
-    part_note_t note = {.part = 7, .endpoint = holder->hash};
+    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
+    part_copy_t note = {.part = 7, .endpoint = holder->hash};
     g_array_append_val(notes, note);
     directory_take_parts(d, notes);
     CU_ASSERT(endpoint_has_part(holder, 7));
@@ -619,15 +621,15 @@
                                    .part_count = G_N_ELEMENTS(parts),
                                    .prompt_tokens = 2400,
                                    .target_ms = 500,
-                                   .tokens_a_ms = 61,
-                                   .fetch_tokens_a_ms = 800,
+                                   .tokens_per_ms = 61,
+                                   .fetch_tokens_per_ms = 800,
                                    .data_centre = "dc"};
     placement_t first = placement_pick(list, &request, 0);
-    CU_ASSERT_FALSE(first.prefix_held);
+    CU_ASSERT_FALSE(first.prefix_cached);
     endpoint_t *other = list->pdata[first.endpoint == list->pdata[0]];
     directory_note_part(d, other, PREFIX);
     placement_t then = placement_pick(list, &request, 0);
-    CU_ASSERT(then.prefix_held);
+    CU_ASSERT(then.prefix_cached);
     CU_ASSERT_PTR_EQUAL(then.endpoint, first.endpoint);
     CU_ASSERT_PTR_EQUAL(then.source, other);
     /* One that keeps all of it is better. */
@@ -679,7 +681,7 @@
     for (guint32 draw = 0; draw < 100; draw++) {
         g_hash_table_add(used, place(d, 800, 77, 400, TRUE, draw));
     }
-    CU_ASSERT(g_hash_table_size(used) <= KEEPERS_MAX);
+    CU_ASSERT(g_hash_table_size(used) <= PART_HOMES_MAX);
     endpoint_t *home = place(d, 800, 77, 400, TRUE, 1);
     home->running = SLOTS;
     CU_ASSERT_NOT_EQUAL(place(d, 800, 77, 400, TRUE, 1), home);
@@ -753,7 +755,7 @@
     CU_ASSERT_PTR_NULL(none.endpoint);
     CU_ASSERT_EQUAL(none.counts.limited, ENGINES);
     CU_ASSERT(placement_is_limited(&none.counts));
-    placement_counts_t full = {.known = 18, .limited = 1, .no_place = 17};
+    placement_counts_t full = {.known = 18, .limited = 1, .no_slot = 17};
     CU_ASSERT_FALSE(placement_is_limited(&full));
     CU_ASSERT_STRING_EQUAL(placement_reason(&none.counts),
                            "the limits that the endpoints named are spent");
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -104,7 +104,7 @@
     engine_model_t model[INSTANCES_MOST];
     load_sum_t *loads;            /* as the instances reported them */
     part_feed_t *feed;            /* the same of parts */
-    GArray *sent[INSTANCES_MOST]; /* part_note_t, to be reported */
+    GArray *sent[INSTANCES_MOST]; /* part_copy_t, to be reported */
     guint64 heard[INSTANCES_MOST];
     limit_quota_t *quota;
     guint64 asks;
@@ -141,7 +141,7 @@
     }
     for (guint n = 0; n < p->instances; n++) {
         p->seen[n] = directory_create(drop_nothing);
-        p->sent[n] = g_array_new(FALSE, FALSE, sizeof(part_note_t));
+        p->sent[n] = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
         engine_model_init(&p->model[n]);
         for (guint i = 0; i < load->engines; i++) {
             char id[16];
@@ -194,10 +194,11 @@
 }
 
 static double
-long_part(const play_t *p, guint instance)
+long_fraction(const play_t *p, guint instance)
 {
-    return p->load->fixed_part > 0 ? p->load->fixed_part
-                                   : engine_split_part(&p->split[instance]);
+    return p->load->fixed_part > 0
+               ? p->load->fixed_part
+               : engine_split_long_fraction(&p->split[instance]);
 }
 
 static placement_t
@@ -209,21 +210,21 @@
         {g_rand_int(p->random) | G_GUINT64_CONSTANT(1) << 40,
          k->prompt_tokens - k->shared_tokens}};
     gint64 now_us = (gint64)(now_ms * 1000);
-    prompt_note_t note = {.prompt_tokens = k->prompt_tokens,
-                          .target_ms = k->target_ms,
-                          .pause_ms = k->pause_ms,
-                          .priority = k->priority};
-    prompt_mix_note(&p->mix[n], note, now_us);
+    prompt_sample_t note = {.prompt_tokens = k->prompt_tokens,
+                            .target_ms = k->target_ms,
+                            .pause_ms = k->pause_ms,
+                            .priority = k->priority};
+    prompt_mix_record(&p->mix[n], note, now_us);
     placement_request_t request = {
         .parts = parts,
         .part_count = part != 0 ? 2 : 0,
         .prompt_tokens = k->prompt_tokens,
-        .parted = prompt_mix_parted(&p->mix[n], now_us),
-        .long_part = long_part(p, n),
+        .partitioned = prompt_mix_needs_partition(&p->mix[n], now_us),
+        .long_fraction = long_fraction(p, n),
         .target_ms = k->target_ms,
-        .rest_pause_ms = p->mix[n].rest_pause_ms,
-        .tokens_a_ms = engine_model_tokens_a_ms(&p->model[n]),
-        .fetch_tokens_a_ms = 3000,
+        .short_prompt_pause_ms = p->mix[n].short_prompt_pause_ms,
+        .tokens_per_ms = engine_model_tokens_per_ms(&p->model[n]),
+        .fetch_tokens_per_ms = 3000,
         .data_centre = "dc",
         .limits_now_us = now_us + 1,
         .draw = g_rand_int(p->random),
@@ -250,7 +251,7 @@
 static void
 note_sent(play_t *p, guint n, endpoint_t *e, guint64 part)
 {
-    part_note_t note = {.part = part, .endpoint = e->hash};
+    part_copy_t note = {.part = part, .endpoint = e->hash};
     if (part != 0 && !endpoint_has_part(e, part)) {
         g_array_append_val(p->sent[n], note);
         directory_note_part(p->seen[n], e, part);
@@ -366,7 +367,7 @@
     r->heard = TRUE;
     endpoint_end_wait(r->endpoint, kind_of(p, r->kind)->prompt_tokens,
                       r->waiting);
-    engine_model_note_first(model, tokens, ms);
+    engine_model_record_first(model, tokens, ms);
 }
 
 static void
@@ -418,7 +419,7 @@
     case TOLD_WAYS:
         break;
     }
-    return load_sum_told(p->loads, now_us);
+    return load_sum_busiest(p->loads, now_us);
 }
 
 /* An instance reports its requests and is told those of others, as they were
@@ -434,8 +435,8 @@
     GArray *all = loads_told(p, now_us);
     directory_take_loads(p->seen[n], all, own);
     split_demand_t demand = directory_demand(p->seen[n], "s", now_us);
-    prompt_mix_fill(&p->mix[n], p->instances, now_us, &demand);
-    demand.tokens_a_ms = engine_model_tokens_a_ms(&p->model[n]);
+    prompt_mix_fill_demand(&p->mix[n], p->instances, now_us, &demand);
+    demand.tokens_per_ms = engine_model_tokens_per_ms(&p->model[n]);
     engine_split_update(&p->split[n], &demand, now_us);
     g_array_unref(own);
     g_array_unref(all);
