--- a/include/carobloom/policy/engine_model.h
+++ b/include/carobloom/policy/engine_model.h
@@ -19,9 +19,9 @@
     double xy;
 } line_fit_t;
 
-void line_fit_add(line_fit_t *fit, double x, double y, double forget);
+void line_fit_add(line_fit_t *fit, double x, double y, double decay);
 /* FALSE while nothing tells the slope. */
-gboolean line_fit_get(const line_fit_t *fit, double *at_zero, double *slope);
+gboolean line_fit_get(const line_fit_t *fit, double *intercept, double *slope);
 
 typedef struct {
     line_fit_t first; /* ms over tokens */
--- a/include/carobloom/policy/engine_split.h
+++ b/include/carobloom/policy/engine_split.h
@@ -28,9 +28,9 @@
 } split_demand_t;
 
 typedef struct {
-    double part;    /* wanted for long prompts, smoothed */
-    double applied; /* in force: follows `part` in whole engines */
-    gint64 at_us;   /* of the last update; 0: none yet */
+    double smoothed;   /* wanted for long prompts, smoothed */
+    double applied;    /* in force: follows `part` in whole engines */
+    gint64 updated_us; /* of the last update; 0: none yet */
 } engine_split_t;
 
 /* The part of the engines that long prompts get; before any load is known, one
--- a/include/carobloom/policy/keepers.h
+++ b/include/carobloom/policy/keepers.h
@@ -22,32 +22,33 @@
 } partition_t;
 
 typedef struct {
-    endpoint_t *at[PART_RANKED_MAX]; /* in order of rank */
+    endpoint_t *ranked[PART_RANKED_MAX]; /* in order of rank */
     guint count;
     /* Ranked before the home, but on the other side by now: it was the home
      * while its side was this one, and got the part. NULL: none. */
-    const endpoint_t *former;
+    const endpoint_t *former_home;
     /* Ranked before the home, but draining: it was the home until then, and
      * its memory can still be asked. NULL: none. */
-    const endpoint_t *leaving;
+    const endpoint_t *draining_home;
     /* Ranked highest of those that were sent the part lately, wherever they
      * are by now. */
-    const endpoint_t *holders[PART_SOURCES_MAX];
+    const endpoint_t *sources[PART_SOURCES_MAX];
     /* One that was sent the part before it in the prompt, which more prompts
      * share; an endpoint that gets the part for the first time has it from
      * there. NULL: none. */
-    const endpoint_t *prefix_holder;
+    const endpoint_t *prefix_source;
 } part_ranking_t;
 
 /* The keepers of a part among the usable endpoints of a side; none for part
  * 0. `prefix` is the part before it, or 0. */
-part_ranking_t part_ranking_build(const GPtrArray *endpoints, partition_t side,
-                                  guint64 part, guint64 prefix, gint64 now_us);
+part_ranking_t part_ranking_build(const GPtrArray *endpoints,
+                                  partition_t partition, guint64 part,
+                                  guint64 prefix, gint64 now_us);
 /* Its place among them; PART_RANKED_MAX when it has none. */
-guint part_ranking_position(const part_ranking_t *keepers,
+guint part_ranking_position(const part_ranking_t *ranking,
                             const endpoint_t *endpoint);
 /* Whom `endpoint` best fetches the part from; NULL: nobody well enough. */
-const endpoint_t *part_ranking_source(const part_ranking_t *keepers,
+const endpoint_t *part_ranking_source(const part_ranking_t *ranking,
                                       const endpoint_t *endpoint,
                                       gint64 now_us);
 
--- a/include/carobloom/policy/part_feed.h
+++ b/include/carobloom/policy/part_feed.h
@@ -23,10 +23,10 @@
 part_feed_t *part_feed_create(void);
 void part_feed_destroy(part_feed_t *feed);
 /* `notes` holds part_copy_t. */
-void part_feed_add(part_feed_t *feed, const GArray *notes);
+void part_feed_add(part_feed_t *feed, const GArray *copies);
 /* The notes after the first `heard` ones, as far as they are kept, in a new
  * array; `heard` becomes how many were ever added. More than these is a word
  * of another feed, and counts as none. */
-GArray *part_feed_since(const part_feed_t *feed, guint64 *heard);
+GArray *part_feed_since(const part_feed_t *feed, guint64 *received);
 
 #endif
--- a/include/carobloom/policy/part_set.h
+++ b/include/carobloom/policy/part_set.h
@@ -17,7 +17,7 @@
 
 void part_set_clear(part_set_t *set);
 /* Adds a part, with `most` buckets at most (a power of two). */
-void part_set_add(part_set_t *set, guint64 part, guint most);
+void part_set_add(part_set_t *set, guint64 part, guint max_buckets);
 gboolean part_set_has(const part_set_t *set, guint64 part);
 
 #endif
--- a/include/carobloom/policy/prompt_mix.h
+++ b/include/carobloom/policy/prompt_mix.h
@@ -15,7 +15,7 @@
     /* that came here, counting the less the longer ago */
     double arrivals;
     double tokens;      /* of their prompts */
-    gint64 at_us;       /* when the last one came; 0: never */
+    gint64 last_us;     /* when the last one came; 0: never */
     double mean_tokens; /* of a prompt, over the last twenty or so */
 } prompt_kind_t;
 
@@ -35,7 +35,8 @@
     guint priority;   /* 0 is the most urgent */
 } prompt_sample_t;
 
-void prompt_mix_record(prompt_mix_t *mix, prompt_sample_t note, gint64 now_us);
+void prompt_mix_record(prompt_mix_t *mix, prompt_sample_t sample,
+                       gint64 now_us);
 /* Tokens of a typical long prompt; 0: none came yet. */
 double prompt_mix_long_tokens(const prompt_mix_t *mix);
 /* Whether the service's engines are parted between long prompts and the
--- a/policy/keepers.c
+++ b/policy/keepers.c
@@ -3,156 +3,166 @@
 #include "carobloom/policy/rendezvous.h"
 
 /* One that fails a tenth of its requests is not asked for its memory. */
-static const double SOURCE_FAILURES = 0.1;
+static const double SOURCE_FAILURES_MAX = 0.1;
 
 typedef struct {
-    part_ranking_t keepers;
-    guint64 ranks[PART_RANKED_MAX];
-    guint64 former_rank;
-    guint64 leaving_rank;
-    guint64 holder_ranks[PART_SOURCES_MAX];
-    guint64 prefix_rank;
-} ranking_t;
+    part_ranking_t ranking;
+    guint64 weights[PART_RANKED_MAX];
+    guint64 former_home_weight;
+    guint64 draining_home_weight;
+    guint64 source_weights[PART_SOURCES_MAX];
+    guint64 prefix_source_weight;
+} ranking_builder_t;
 
 /* Whether an endpoint is well enough to be asked for its memory. */
 static gboolean
-may_be_asked(const endpoint_t *e, gint64 now_us)
+is_healthy(const endpoint_t *e, gint64 now_us)
 {
     return e != NULL && endpoint_open(e, now_us) &&
-           e->failures < SOURCE_FAILURES;
+           e->failures < SOURCE_FAILURES_MAX;
 }
 
 /* Whether its memory is there to be asked for. */
 static gboolean
-is_source(const endpoint_t *e, gint64 now_us)
+can_serve_fetch(const endpoint_t *e, gint64 now_us)
 {
-    return may_be_asked(e, now_us) &&
+    return is_healthy(e, now_us) &&
            (endpoint_usable(e, now_us) || endpoint_lends(e, now_us));
 }
 
 /* Puts an endpoint in its place, if it has one among the first. */
 static void
-rank_in(ranking_t *r, endpoint_t *e, guint64 rank)
+builder_insert(ranking_builder_t *r, endpoint_t *e, guint64 weight)
 {
-    part_ranking_t *k = &r->keepers;
-    guint at = k->count;
-    while (at > 0 && rank > r->ranks[at - 1]) {
+    part_ranking_t *ranking = &r->ranking;
+    guint at = ranking->count;
+    while (at > 0 && weight > r->weights[at - 1]) {
         at--;
     }
     if (at == PART_RANKED_MAX) {
         return;
     }
-    k->count = MIN(k->count + 1, PART_RANKED_MAX);
-    for (guint i = k->count - 1; i > at; i--) {
-        k->at[i] = k->at[i - 1];
-        r->ranks[i] = r->ranks[i - 1];
+    ranking->count = MIN(ranking->count + 1, PART_RANKED_MAX);
+    for (guint i = ranking->count - 1; i > at; i--) {
+        ranking->ranked[i] = ranking->ranked[i - 1];
+        r->weights[i] = r->weights[i - 1];
     }
-    k->at[at] = e;
-    r->ranks[at] = rank;
+    ranking->ranked[at] = e;
+    r->weights[at] = weight;
 }
 
 static void
-note_leaving(ranking_t *r, const endpoint_t *e, guint64 rank, gint64 now_us)
+builder_record_draining(ranking_builder_t *r, const endpoint_t *e,
+                        guint64 weight, gint64 now_us)
 {
-    if (rank > r->leaving_rank && endpoint_lends(e, now_us)) {
-        r->keepers.leaving = e;
-        r->leaving_rank = rank;
+    if (weight > r->draining_home_weight && endpoint_lends(e, now_us)) {
+        r->ranking.draining_home = e;
+        r->draining_home_weight = weight;
     }
 }
 
 static void
-note_holder(ranking_t *r, const endpoint_t *e, guint64 rank)
+builder_record_source(ranking_builder_t *r, const endpoint_t *e,
+                      guint64 weight)
 {
-    const endpoint_t **holders = r->keepers.holders;
+    const endpoint_t **sources = r->ranking.sources;
     guint at = PART_SOURCES_MAX;
     while (at > 0 &&
-           (holders[at - 1] == NULL || rank > r->holder_ranks[at - 1])) {
+           (sources[at - 1] == NULL || weight > r->source_weights[at - 1])) {
         at--;
     }
     for (guint i = PART_SOURCES_MAX - 1; at < PART_SOURCES_MAX && i > at;
          i--) {
-        holders[i] = holders[i - 1];
-        r->holder_ranks[i] = r->holder_ranks[i - 1];
+        sources[i] = sources[i - 1];
+        r->source_weights[i] = r->source_weights[i - 1];
     }
     if (at < PART_SOURCES_MAX) {
-        holders[at] = e;
-        r->holder_ranks[at] = rank;
+        sources[at] = e;
+        r->source_weights[at] = weight;
     }
 }
 
 /* All instances ask the same one, so that it surely has the part. */
 static void
-note_prefix(ranking_t *r, const endpoint_t *e, guint64 prefix, gint64 now_us)
+builder_record_prefix_source(ranking_builder_t *r, const endpoint_t *e,
+                             guint64 prefix, gint64 now_us)
 {
     if (prefix == 0 || !endpoint_has_part(e, prefix) ||
-        !is_source(e, now_us)) {
+        !can_serve_fetch(e, now_us)) {
         return;
     }
-    guint64 rank = hash_pair(prefix, e->hash);
-    if (rank > r->prefix_rank) {
-        r->keepers.prefix_holder = e;
-        r->prefix_rank = rank;
+    guint64 weight = hash_pair(prefix, e->hash);
+    if (weight > r->prefix_source_weight) {
+        r->ranking.prefix_source = e;
+        r->prefix_source_weight = weight;
     }
 }
 
 part_ranking_t
-part_ranking_build(const GPtrArray *endpoints, partition_t side, guint64 part,
-                   guint64 prefix, gint64 now_us)
+part_ranking_build(const GPtrArray *endpoints, partition_t partition,
+                   guint64 part, guint64 prefix, gint64 now_us)
 {
-    ranking_t r = {0};
+    ranking_builder_t r = {0};
     for (guint i = 0; part != 0 && i < endpoints->len; i++) {
         endpoint_t *e = endpoints->pdata[i];
-        guint64 rank = hash_pair(part, e->hash);
-        if (endpoint_has_part(e, part) && is_source(e, now_us)) {
-            note_holder(&r, e, rank);
+        guint64 weight = hash_pair(part, e->hash);
+        if (endpoint_has_part(e, part) && can_serve_fetch(e, now_us)) {
+            builder_record_source(&r, e, weight);
         }
-        note_prefix(&r, e, prefix, now_us);
+        builder_record_prefix_source(&r, e, prefix, now_us);
         if (!endpoint_usable(e, now_us)) {
-            note_leaving(&r, e, rank, now_us);
+            builder_record_draining(&r, e, weight, now_us);
             continue;
         }
-        if (i >= side.from && i < side.to) {
-            rank_in(&r, e, rank);
+        if (i >= partition.from && i < partition.to) {
+            builder_insert(&r, e, weight);
         }
-        else if (rank > r.former_rank && endpoint_has_part(e, part)) {
-            r.keepers.former = e;
-            r.former_rank = rank;
+        else if (weight > r.former_home_weight && endpoint_has_part(e, part)) {
+            r.ranking.former_home = e;
+            r.former_home_weight = weight;
         }
     }
-    if (r.keepers.count > 0 && r.former_rank < r.ranks[0]) {
-        r.keepers.former = NULL;
+    if (r.ranking.count > 0 && r.former_home_weight < r.weights[0]) {
+        r.ranking.former_home = NULL;
     }
-    if (r.keepers.count > 0 && r.leaving_rank < r.ranks[0]) {
-        r.keepers.leaving = NULL;
+    if (r.ranking.count > 0 && r.draining_home_weight < r.weights[0]) {
+        r.ranking.draining_home = NULL;
     }
-    return r.keepers;
+    return r.ranking;
 }
 
 guint
-part_ranking_position(const part_ranking_t *k, const endpoint_t *endpoint)
+part_ranking_position(const part_ranking_t *ranking,
+                      const endpoint_t *endpoint)
 {
-    guint rank = 0;
-    while (rank < k->count && k->at[rank] != endpoint) {
-        rank++;
+    guint position = 0;
+    while (position < ranking->count &&
+           ranking->ranked[position] != endpoint) {
+        position++;
     }
-    return rank < k->count ? rank : PART_RANKED_MAX;
+    return position < ranking->count ? position : PART_RANKED_MAX;
 }
 
 const endpoint_t *
-part_ranking_source(const part_ranking_t *k, const endpoint_t *endpoint,
+part_ranking_source(const part_ranking_t *ranking, const endpoint_t *endpoint,
                     gint64 now_us)
 {
-    const endpoint_t *home = k->count > 0 ? k->at[0] : NULL;
-    const endpoint_t *next = k->count > 1 ? k->at[1] : NULL;
+    const endpoint_t *home = ranking->count > 0 ? ranking->ranked[0] : NULL;
+    const endpoint_t *fallback =
+        ranking->count > 1 ? ranking->ranked[1] : NULL;
     /* Those that have it as is known; where none is known, those that most
      * likely do. What leaves takes its memory with it: it goes first. The home
      * itself asks for the part before it rather than for a guess. */
-    const endpoint_t *const sources[] = {
-        k->holders[0], k->holders[1],    k->leaving, home,
-        k->former,     k->prefix_holder, next};
-    for (gsize i = 0; i < G_N_ELEMENTS(sources); i++) {
-        if (sources[i] != endpoint && may_be_asked(sources[i], now_us)) {
-            return sources[i];
+    const endpoint_t *const candidates[] = {ranking->sources[0],
+                                            ranking->sources[1],
+                                            ranking->draining_home,
+                                            home,
+                                            ranking->former_home,
+                                            ranking->prefix_source,
+                                            fallback};
+    for (gsize i = 0; i < G_N_ELEMENTS(candidates); i++) {
+        if (candidates[i] != endpoint && is_healthy(candidates[i], now_us)) {
+            return candidates[i];
         }
     }
     return NULL;
--- a/policy/load_delta.c
+++ b/policy/load_delta.c
@@ -1,9 +1,9 @@
 #include "carobloom/policy/load_delta.h"
 
 struct load_delta {
-    GArray *told;    /* loads as the other has them, or NULL */
-    GArray *pending; /* as the message under way says, or NULL */
-    guint64 told_sequence;
+    GArray *acknowledged; /* loads as the other has them, or NULL */
+    GArray *pending;      /* as the message under way says, or NULL */
+    guint64 acknowledged_sequence;
     guint64 pending_sequence;
     gint64 sent_us;
 };
@@ -17,7 +17,7 @@
 void
 load_delta_destroy(load_delta_t *d)
 {
-    g_clear_pointer(&d->told, g_array_unref);
+    g_clear_pointer(&d->acknowledged, g_array_unref);
     g_clear_pointer(&d->pending, g_array_unref);
     g_free(d);
 }
@@ -31,11 +31,11 @@
 guint64
 load_delta_base(const load_delta_t *d)
 {
-    return d->told != NULL ? d->told_sequence : 0;
+    return d->acknowledged != NULL ? d->acknowledged_sequence : 0;
 }
 
 static const endpoint_load_t *
-load_at(const GArray *loads, guint i)
+load_or_null(const GArray *loads, guint i)
 {
     return loads != NULL && i < loads->len
                ? &g_array_index(loads, endpoint_load_t, i)
@@ -48,21 +48,22 @@
     GArray *changes = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
     guint i = 0;
     guint j = 0;
-    const endpoint_load_t *was = load_at(d->told, i);
-    const endpoint_load_t *is = load_at(loads, j);
-    while (was != NULL || is != NULL) {
-        if (is == NULL || (was != NULL && was->endpoint < is->endpoint)) {
-            endpoint_load_t gone = {.endpoint = was->endpoint};
-            g_array_append_val(changes, gone);
-            was = load_at(d->told, ++i);
+    const endpoint_load_t *old = load_or_null(d->acknowledged, i);
+    const endpoint_load_t *current = load_or_null(loads, j);
+    while (old != NULL || current != NULL) {
+        if (current == NULL ||
+            (old != NULL && old->endpoint < current->endpoint)) {
+            endpoint_load_t removed = {.endpoint = old->endpoint};
+            g_array_append_val(changes, removed);
+            old = load_or_null(d->acknowledged, ++i);
             continue;
         }
-        gboolean known = was != NULL && was->endpoint == is->endpoint;
-        if (!known || !endpoint_load_equal(was, is)) {
-            g_array_append_vals(changes, is, 1);
+        gboolean known = old != NULL && old->endpoint == current->endpoint;
+        if (!known || !endpoint_load_equal(old, current)) {
+            g_array_append_vals(changes, current, 1);
         }
-        was = load_at(d->told, known ? ++i : i);
-        is = load_at(loads, ++j);
+        old = load_or_null(d->acknowledged, known ? ++i : i);
+        current = load_or_null(loads, ++j);
     }
     return changes;
 }
@@ -89,14 +90,14 @@
     if (d->pending == NULL) {
         return;
     }
-    g_clear_pointer(&d->told, g_array_unref);
-    d->told = g_steal_pointer(&d->pending);
-    d->told_sequence = d->pending_sequence;
+    g_clear_pointer(&d->acknowledged, g_array_unref);
+    d->acknowledged = g_steal_pointer(&d->pending);
+    d->acknowledged_sequence = d->pending_sequence;
 }
 
 void
 load_delta_lost(load_delta_t *d)
 {
     g_clear_pointer(&d->pending, g_array_unref);
-    g_clear_pointer(&d->told, g_array_unref);
+    g_clear_pointer(&d->acknowledged, g_array_unref);
 }
--- a/policy/load_sum.c
+++ b/policy/load_sum.c
@@ -2,25 +2,25 @@
 
 enum {
     /* Between two orderings of the sums, for each of them. */
-    TOLD_US_AN_ENDPOINT = 20,
+    BUSIEST_INTERVAL_US_PER_ENDPOINT = 20,
     /* What a running request weighs beside prompt tokens that wait to be read:
      * it holds one of the slots, and the steps of those beside it up. */
-    RUNNING_TOKENS = 500,
+    RUNNING_REQUEST_TOKENS = 500,
 };
 
 typedef struct {
     GArray *loads; /* of one that tells changes: in order of endpoints */
     guint64 sequence;
-    gint64 at_us;
+    gint64 received_us;
 } report_t;
 
 struct load_sum {
     GHashTable *reports; /* instance -> report_t */
     GHashTable *sums;    /* endpoint -> endpoint_load_t */
     gboolean changed;
-    GArray *told; /* the busiest as last ordered, or NULL */
-    gint64 told_us;
-    gboolean told_changed; /* a report came since */
+    GArray *busiest; /* the busiest as last ordered, or NULL */
+    gint64 busiest_us;
+    gboolean busiest_outdated; /* a report came since */
 };
 
 static void
@@ -56,12 +56,12 @@
 {
     g_hash_table_unref(s->reports);
     g_hash_table_unref(s->sums);
-    g_clear_pointer(&s->told, g_array_unref);
+    g_clear_pointer(&s->busiest, g_array_unref);
     g_free(s);
 }
 
 static void
-take_out(load_sum_t *s, const GArray *loads)
+subtract_loads(load_sum_t *s, const GArray *loads)
 {
     for (guint i = 0; i < loads->len; i++) {
         const endpoint_load_t *l = &g_array_index(loads, endpoint_load_t, i);
@@ -81,7 +81,7 @@
 }
 
 static void
-put_in(load_sum_t *s, const GArray *loads)
+add_loads(load_sum_t *s, const GArray *loads)
 {
     for (guint i = 0; i < loads->len; i++) {
         const endpoint_load_t *l = &g_array_index(loads, endpoint_load_t, i);
@@ -100,7 +100,7 @@
 }
 
 static report_t *
-report_of(load_sum_t *s, const char *instance)
+report_get(load_sum_t *s, const char *instance)
 {
     report_t *report = g_hash_table_lookup(s->reports, instance);
     if (report == NULL) {
@@ -112,24 +112,24 @@
 }
 
 static void
-report_note(load_sum_t *s, report_t *report, guint64 sequence, gint64 now_us)
+report_record(load_sum_t *s, report_t *report, guint64 sequence, gint64 now_us)
 {
     report->sequence = sequence;
-    report->at_us = now_us;
+    report->received_us = now_us;
     s->changed = TRUE;
-    s->told_changed = TRUE;
+    s->busiest_outdated = TRUE;
 }
 
 void
 load_sum_report(load_sum_t *s, const char *instance, GArray *loads,
                 gint64 now_us)
 {
-    report_t *report = report_of(s, instance);
-    take_out(s, report->loads);
-    put_in(s, loads);
+    report_t *report = report_get(s, instance);
+    subtract_loads(s, report->loads);
+    add_loads(s, loads);
     g_array_unref(report->loads);
     report->loads = g_array_ref(loads);
-    report_note(s, report, 0, now_us);
+    report_record(s, report, 0, now_us);
 }
 
 static gint
@@ -156,29 +156,30 @@
         .all = g_array_sized_new(FALSE, FALSE, sizeof(endpoint_load_t),
                                  loads->len + changes->len),
     };
-    guint at = 0;
+    guint next = 0;
     for (guint i = 0; i < changes->len; i++) {
         const endpoint_load_t *change =
             &g_array_index(changes, endpoint_load_t, i);
         const endpoint_load_t *l = NULL;
-        while (at < loads->len &&
-               (l = &g_array_index(loads, endpoint_load_t, at))->endpoint <
+        while (next < loads->len &&
+               (l = &g_array_index(loads, endpoint_load_t, next))->endpoint <
                    change->endpoint) {
             g_array_append_vals(c.all, l, 1);
-            at++;
+            next++;
         }
-        if (at < loads->len && l->endpoint == change->endpoint) {
+        if (next < loads->len && l->endpoint == change->endpoint) {
             g_array_append_vals(c.before, l, 1);
-            at++;
+            next++;
         }
         if (change->running > 0) {
             g_array_append_vals(c.after, change, 1);
             g_array_append_vals(c.all, change, 1);
         }
     }
-    if (at < loads->len) {
-        g_array_append_vals(c.all, &g_array_index(loads, endpoint_load_t, at),
-                            loads->len - at);
+    if (next < loads->len) {
+        g_array_append_vals(c.all,
+                            &g_array_index(loads, endpoint_load_t, next),
+                            loads->len - next);
     }
     return c;
 }
@@ -192,19 +193,19 @@
     if (base != 0 && (known == NULL || known->sequence != base)) {
         return FALSE;
     }
-    report_t *report = report_of(s, instance);
+    report_t *report = report_get(s, instance);
     if (base == 0) {
-        take_out(s, report->loads);
+        subtract_loads(s, report->loads);
         g_array_set_size(report->loads, 0);
     }
     report_change_t c = report_change(report->loads, changes);
-    take_out(s, c.before);
-    put_in(s, c.after);
+    subtract_loads(s, c.before);
+    add_loads(s, c.after);
     g_array_unref(report->loads);
     report->loads = c.all;
     g_array_unref(c.before);
     g_array_unref(c.after);
-    report_note(s, report, sequence, now_us);
+    report_record(s, report, sequence, now_us);
     return TRUE;
 }
 
@@ -216,11 +217,11 @@
     g_hash_table_iter_init(&iter, s->reports);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         report_t *report = value;
-        if (report->at_us < oldest_us) {
-            take_out(s, report->loads);
+        if (report->received_us < oldest_us) {
+            subtract_loads(s, report->loads);
             g_hash_table_iter_remove(&iter);
             s->changed = TRUE;
-            s->told_changed = TRUE;
+            s->busiest_outdated = TRUE;
         }
     }
 }
@@ -248,36 +249,37 @@
 }
 
 static guint64
-weight_of(const endpoint_load_t *l)
+load_weight(const endpoint_load_t *l)
 {
-    return l->waiting_tokens + (guint64)l->running * RUNNING_TOKENS;
+    return l->waiting_tokens + (guint64)l->running * RUNNING_REQUEST_TOKENS;
 }
 
 static gint
-compare_busier(gconstpointer a, gconstpointer b)
+compare_weights(gconstpointer a, gconstpointer b)
 {
-    guint64 x = weight_of(a);
-    guint64 y = weight_of(b);
+    guint64 x = load_weight(a);
+    guint64 y = load_weight(b);
     return x > y ? -1 : x < y;
 }
 
 GArray *
 load_sum_busiest(load_sum_t *s, gint64 now_us)
 {
-    gint64 pause_us = g_hash_table_size(s->sums) * (gint64)TOLD_US_AN_ENDPOINT;
-    if (s->told != NULL &&
-        (!s->told_changed || now_us - s->told_us < pause_us)) {
-        return g_array_ref(s->told);
+    gint64 interval_us =
+        g_hash_table_size(s->sums) * (gint64)BUSIEST_INTERVAL_US_PER_ENDPOINT;
+    if (s->busiest != NULL &&
+        (!s->busiest_outdated || now_us - s->busiest_us < interval_us)) {
+        return g_array_ref(s->busiest);
     }
-    g_clear_pointer(&s->told, g_array_unref);
-    s->told = load_sum_all(s);
-    s->told_us = now_us;
-    s->told_changed = FALSE;
-    if (s->told->len > BUSIEST_LOADS_MAX) {
-        g_array_sort(s->told, compare_busier);
-        g_array_set_size(s->told, BUSIEST_LOADS_MAX);
+    g_clear_pointer(&s->busiest, g_array_unref);
+    s->busiest = load_sum_all(s);
+    s->busiest_us = now_us;
+    s->busiest_outdated = FALSE;
+    if (s->busiest->len > BUSIEST_LOADS_MAX) {
+        g_array_sort(s->busiest, compare_weights);
+        g_array_set_size(s->busiest, BUSIEST_LOADS_MAX);
     }
-    return g_array_ref(s->told);
+    return g_array_ref(s->busiest);
 }
 
 gboolean
--- a/policy/part_feed.c
+++ b/policy/part_feed.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/part_feed.h"
 
 struct part_feed {
-    part_copy_t notes[PART_FEED_MAX]; /* the one added as nth at n modulo */
+    part_copy_t copies[PART_FEED_MAX]; /* the one added as nth at n modulo */
     guint64 added;
 };
 
@@ -18,25 +18,25 @@
 }
 
 void
-part_feed_add(part_feed_t *f, const GArray *notes)
+part_feed_add(part_feed_t *f, const GArray *copies)
 {
-    for (guint i = 0; i < notes->len; i++) {
-        f->notes[f->added % PART_FEED_MAX] =
-            g_array_index(notes, part_copy_t, i);
+    for (guint i = 0; i < copies->len; i++) {
+        f->copies[f->added % PART_FEED_MAX] =
+            g_array_index(copies, part_copy_t, i);
         f->added++;
     }
 }
 
 GArray *
-part_feed_since(const part_feed_t *f, guint64 *heard)
+part_feed_since(const part_feed_t *f, guint64 *received)
 {
-    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
-    guint64 kept = MIN(f->added, PART_FEED_MAX);
-    guint64 from = *heard <= f->added ? *heard : 0;
-    from = MAX(from, f->added - kept);
-    for (guint64 i = from; i < f->added; i++) {
-        g_array_append_val(notes, f->notes[i % PART_FEED_MAX]);
+    GArray *copies = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
+    guint64 available = MIN(f->added, PART_FEED_MAX);
+    guint64 first = *received <= f->added ? *received : 0;
+    first = MAX(first, f->added - available);
+    for (guint64 i = first; i < f->added; i++) {
+        g_array_append_val(copies, f->copies[i % PART_FEED_MAX]);
     }
-    *heard = f->added;
-    return notes;
+    *received = f->added;
+    return copies;
 }
--- a/policy/part_set.c
+++ b/policy/part_set.c
@@ -1,6 +1,6 @@
 #include "carobloom/policy/part_set.h"
 
-enum { PLACES_FIRST = 4 };
+enum { BUCKETS_INITIAL = 4 };
 
 void
 part_set_clear(part_set_t *s)
@@ -10,7 +10,7 @@
 }
 
 static guint64 *
-place_of(const part_set_t *s, guint64 part)
+bucket_of(const part_set_t *s, guint64 part)
 {
     return &s->buckets[part % s->count];
 }
@@ -19,11 +19,12 @@
 static void
 set_grow(part_set_t *s)
 {
-    part_set_t larger = {.count = s->count > 0 ? s->count * 2 : PLACES_FIRST};
+    part_set_t larger = {.count =
+                             s->count > 0 ? s->count * 2 : BUCKETS_INITIAL};
     larger.buckets = g_new0(guint64, larger.count);
     for (guint i = 0; i < s->count; i++) {
         if (s->buckets[i] != 0) {
-            *place_of(&larger, s->buckets[i]) = s->buckets[i];
+            *bucket_of(&larger, s->buckets[i]) = s->buckets[i];
         }
     }
     part_set_clear(s);
@@ -32,25 +33,25 @@
 
 /* Whether the part's place is another's. */
 static gboolean
-is_crowded(const part_set_t *s, guint64 part)
+is_collision(const part_set_t *s, guint64 part)
 {
     return s->count == 0 ||
-           (*place_of(s, part) != 0 && *place_of(s, part) != part);
+           (*bucket_of(s, part) != 0 && *bucket_of(s, part) != part);
 }
 
 void
-part_set_add(part_set_t *s, guint64 part, guint most)
+part_set_add(part_set_t *s, guint64 part, guint max_buckets)
 {
-    while (s->count < most && is_crowded(s, part)) {
+    while (s->count < max_buckets && is_collision(s, part)) {
         set_grow(s);
     }
     if (s->count > 0) {
-        *place_of(s, part) = part;
+        *bucket_of(s, part) = part;
     }
 }
 
 gboolean
 part_set_has(const part_set_t *s, guint64 part)
 {
-    return s->count > 0 && *place_of(s, part) == part;
+    return s->count > 0 && *bucket_of(s, part) == part;
 }
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -9,19 +9,19 @@
 
 /* What one more request under way costs the next, in ms: on engines the step
  * grows little; a plain server works one off in about 15 ms on 6 slots. */
-static const double RUNNING_ENGINE_MS = 1.0;
-static const double RUNNING_PLAIN_MS = 2.5;
+static const double ENGINE_REQUEST_COST_MS = 1.0;
+static const double PLAIN_REQUEST_COST_MS = 2.5;
 /* Going to another data centre, for the bytes: as much as 30 running requests
  * at an engine. */
-static const double FAR_MS = 30.0;
+static const double REMOTE_COST_MS = 30.0;
 /* A request at an endpoint that fails always is lost, or repeated after a
  * multiple of its objective. */
-static const double FAILURE_MS = 400.0;
-static const double COLD_MS = 30.0;
+static const double FAILURE_COST_MS = 400.0;
+static const double COLD_COST_MS = 30.0;
 /* A new connection to a plain server: a round trip and the server's work on
  * it. Less than one request under way, so that it only decides among equals:
  * of hundreds of idle ones an instance uses those that it is connected to. */
-static const double CONNECT_MS = 1.0;
+static const double CONNECT_COST_MS = 1.0;
 /* Reading a shared part again costs the engine its time and is priced: it
  * weighs so many times its time. */
 static const double REREAD_WEIGHT = 3.0;
@@ -32,69 +32,70 @@
 /* Prompts that are read in one go hold up the streams beside them: at most for
  * so much of the shortest objective of their pauses, since other instances may
  * send there at the same time. */
-static const double STALL_PART = 0.4;
+static const double STALL_PAUSE_FRACTION = 0.4;
 /* A short prompt rather goes where 200 others run than where one of those
  * reads holds its stream up. */
-static const double SHORT_STALLED_MS = 200.0;
+static const double SHORT_STALL_COST_MS = 200.0;
 /* An engine whose slots are nearly full makes a short prompt wait for one:
  * over half of them, each tenth weighs 10 ms, so that a full one weighs more
  * than going to another data centre. */
-static const double SHORT_FULL_MS = 100.0;
-static const double SHORT_FULL_FROM = 0.5;
+static const double SHORT_FULL_COST_MS = 100.0;
+static const double SHORT_FULL_MIN_FRACTION = 0.5;
 /* Short prompts for which no ranked endpoint is good enough take the best of
  * so many, drawn anywhere on their side. */
-static const guint SHORT_SAMPLE = 4;
+static const guint SHORT_SAMPLE_MAX = 4;
 /* To a short prompt that leaves the keepers of its shared part, in parts of
  * the time that reading it again costs: an engine that is asked for the part
  * has it only if others went there before. */
-static const double SHORT_AWAY_PART = 0.5;
+static const double SHORT_NOT_HOME_FRACTION = 0.5;
 /* A long prompt that leaves its keepers takes the best of so many, beside the
  * next ranked for its part. */
-static const guint LONG_SAMPLE = 4;
+static const guint LONG_SAMPLE_MAX = 4;
 /* While one of the endpoints ranked for its part serves a request within such
  * a part of its objective, no other is considered. */
-static const double RANKED_PART = 0.5;
+static const double RANKED_TARGET_FRACTION = 0.5;
 /* Off its side a prompt goes when it spares it this much. */
-static const double OFF_SIDE_MS = 100.0;
+static const double OTHER_PARTITION_COST_MS = 100.0;
 /* To a long prompt, in parts of its objective, each stream that is not long on
  * an engine: the border moved over them and they still run there. Seven of
  * them make it go to the next keeper. */
-static const double LONG_AT_REST_PART = 0.06;
+static const double LONG_PER_SHORT_TARGET_FRACTION = 0.06;
 
 /* Parts of an engine's slots that requests may take. While prompts are read
  * all the time a token takes ten times as long, so that long answers do not
  * end in time. Short prompts may wait for a moment. */
-static const double LONG_HOME_SLOTS = 0.85;
+static const double LONG_HOME_SLOTS_FRACTION = 0.85;
 /* And of its memory, by the tokens of the prompts that run there: above, parts
  * that many share are dropped to make room and read again, and engines with
  * many slots read so much that no stream ends in time. */
-static const double LONG_MEMORY = 0.6;
+static const double LONG_MEMORY_FRACTION = 0.6;
 /* A long prompt leaves its home for a queue there of so much of its objective:
  * for the next keeper of its shared parts, or for another engine of its side.
  * Others later, so that few engines keep a part. */
-static const double LONG_KEEPER_PART = 0.4;
-static const double LONG_AWAY_PART = 0.7;
-static const double LONG_AWAY_SLOTS = 0.15;
-static const double LONG_OFF_SIDE_SLOTS = 0.1;
+static const double LONG_FALLBACK_TARGET_FRACTION = 0.4;
+static const double LONG_NOT_HOME_TARGET_FRACTION = 0.7;
+static const double LONG_NOT_HOME_SLOTS_FRACTION = 0.15;
+static const double LONG_OTHER_PARTITION_SLOTS_FRACTION = 0.1;
 /* A long prompt that would hold streams up goes to no engine, of its side
  * either, where more than this part of the slots stream: the border has just
  * moved over them. */
-static const double REST_SLOTS = 0.15;
-static const double SHORT_SLOTS = 1.2;
+static const double SHORT_RUNNING_SLOTS_FRACTION = 0.15;
+static const double SHORT_SLOTS_FRACTION = 1.2;
 /* Four times the slots of a plain server wait for three times its work, 45 ms
  * of an objective of 100. */
-static const double PLAIN_SLOTS = 4.0;
+static const double PLAIN_SLOTS_FRACTION = 4.0;
 
 guint
 placement_unread_tokens(const endpoint_t *e, const placement_request_t *r)
 {
     /* A part was read after those before it. */
-    guint known = r->part_count;
-    while (known > 0 && !endpoint_has_part(e, r->parts[known - 1].id)) {
-        known--;
+    guint cached_parts = r->part_count;
+    while (cached_parts > 0 &&
+           !endpoint_has_part(e, r->parts[cached_parts - 1].id)) {
+        cached_parts--;
     }
     guint cached = 0;
-    for (guint i = 0; i < known; i++) {
+    for (guint i = 0; i < cached_parts; i++) {
         cached += r->parts[i].tokens;
     }
     return r->prompt_tokens > cached ? r->prompt_tokens - cached : 0;
@@ -114,10 +115,10 @@
 /* The last of a prompt's parts but its `last` ones, with the tokens of all up
  * to it. */
 static prompt_part_t
-part_before(const placement_request_t *r, guint last)
+prefix_without(const placement_request_t *r, guint excluded)
 {
     prompt_part_t part = {0};
-    for (guint i = 0; i + last < r->part_count; i++) {
+    for (guint i = 0; i + excluded < r->part_count; i++) {
         part.id = r->parts[i].id;
         part.tokens += r->parts[i].tokens;
     }
@@ -129,13 +130,13 @@
 prompt_part_t
 placement_shared_part(const placement_request_t *r)
 {
-    return part_before(r, 1);
+    return prefix_without(r, 1);
 }
 
 prompt_part_t
 placement_prefix_part(const placement_request_t *r)
 {
-    return part_before(r, 2);
+    return prefix_without(r, 2);
 }
 
 static guint
@@ -146,39 +147,39 @@
 
 /* Which endpoints are for prompts like this. */
 static partition_t
-side_of(const GPtrArray *endpoints, const placement_request_t *r)
+partition_of(const GPtrArray *endpoints, const placement_request_t *r)
 {
     guint count = endpoints->len;
-    guint for_long = (guint)(r->long_fraction * count + 0.5);
-    if (!r->partitioned || for_long == 0 || for_long >= count) {
+    guint long_count = (guint)(r->long_fraction * count + 0.5);
+    if (!r->partitioned || long_count == 0 || long_count >= count) {
         return (partition_t){.from = 0, .to = count};
     }
     return prompt_is_long(r->prompt_tokens)
-               ? (partition_t){.from = 0, .to = for_long}
-               : (partition_t){.from = for_long, .to = count};
+               ? (partition_t){.from = 0, .to = long_count}
+               : (partition_t){.from = long_count, .to = count};
 }
 
 /* How an endpoint stands to a request. */
 typedef struct {
-    guint rank; /* among the keepers of its shared parts; 0: their home */
-    gboolean on_side;
+    guint position; /* among the keepers of its shared parts; 0: their home */
+    gboolean in_partition;
     guint read_tokens;  /* it would have to read */
     guint fetch_tokens; /* it would fetch from the home's memory */
-} standing_t;
+} candidate_t;
 
 static void
-set_tokens(standing_t *s, const endpoint_t *e, const placement_request_t *r,
-           gboolean fetchable)
+candidate_set_tokens(candidate_t *candidate, const endpoint_t *e,
+                     const placement_request_t *r, gboolean can_fetch)
 {
-    guint own = r->prompt_tokens - shared_tokens(r);
+    guint own_tokens = r->prompt_tokens - shared_tokens(r);
     guint unread = placement_unread_tokens(e, r);
-    s->read_tokens = unread;
-    if (s->rank == 0) {
-        s->read_tokens = MIN(unread, own);
+    candidate->read_tokens = unread;
+    if (candidate->position == 0) {
+        candidate->read_tokens = MIN(unread, own_tokens);
     }
-    else if (fetchable && unread > own) {
-        s->read_tokens = own;
-        s->fetch_tokens = unread - own;
+    else if (can_fetch && unread > own_tokens) {
+        candidate->read_tokens = own_tokens;
+        candidate->fetch_tokens = unread - own_tokens;
     }
 }
 
@@ -187,7 +188,7 @@
  * as this one. That is a coarse count; short requests, which end at once, are
  * not refused by it. */
 static guint
-running_at(const endpoint_t *e, const placement_request_t *r)
+estimated_running(const endpoint_t *e, const placement_request_t *r)
 {
     if (r->load_scale == 0) {
         return endpoint_running(e);
@@ -198,7 +199,7 @@
 
 /* The tokens of the prompts of those requests. */
 static guint64
-tokens_at(const endpoint_t *e, const placement_request_t *r)
+estimated_prompt_tokens(const endpoint_t *e, const placement_request_t *r)
 {
     return r->load_scale > 0
                ? (guint64)e->prompt_tokens * r->load_scale
@@ -207,16 +208,16 @@
 
 /* Requests that are not long at an endpoint, of all instances. */
 static guint
-rest_at(const endpoint_t *e)
+short_running(const endpoint_t *e)
 {
     guint running = endpoint_running(e);
-    guint long_prompts = e->long_running + e->others.long_running;
-    return running - MIN(running, long_prompts);
+    guint long_running = e->long_running + e->others.long_running;
+    return running - MIN(running, long_running);
 }
 
 /* Requests of all instances there, in parts of its slots. */
 static double
-fullness(const endpoint_t *e)
+slots_used_fraction(const endpoint_t *e)
 {
     return (double)endpoint_running(e) / MAX(e->slots, 1);
 }
@@ -224,10 +225,10 @@
 /* Whether reading so many tokens in a row makes pauses late for what streams
  * beside. */
 static gboolean
-stalls(const placement_request_t *r, double tokens)
+stalls_streams(const placement_request_t *r, double tokens)
 {
     return r->short_prompt_pause_ms > 0 &&
-           tokens > STALL_PART * (double)r->short_prompt_pause_ms *
+           tokens > STALL_PAUSE_FRACTION * (double)r->short_prompt_pause_ms *
                         r->tokens_per_ms;
 }
 
@@ -236,60 +237,65 @@
  * with next to nothing to do take it. The next keeper takes as many as it
  * reads within their objective. */
 static double
-long_slots(const endpoint_t *e, const placement_request_t *r,
-           standing_t standing)
+long_slots_fraction(const endpoint_t *e, const placement_request_t *r,
+                    candidate_t candidate)
 {
-    if (standing.rank == 0) {
-        return LONG_HOME_SLOTS;
+    if (candidate.position == 0) {
+        return LONG_HOME_SLOTS_FRACTION;
     }
-    if (!standing.on_side) {
-        return LONG_OFF_SIDE_SLOTS;
+    if (!candidate.in_partition) {
+        return LONG_OTHER_PARTITION_SLOTS_FRACTION;
     }
-    if (standing.rank >= PART_HOMES_MAX) {
-        return LONG_AWAY_SLOTS;
+    if (candidate.position >= PART_HOMES_MAX) {
+        return LONG_NOT_HOME_SLOTS_FRACTION;
     }
     /* As if it were a typical prompt: a large one must not find every engine
      * full that others still find free. */
-    double typical =
+    double typical_ratio =
         r->long_tokens > 0 ? r->long_tokens / r->prompt_tokens : 1;
-    double read_tokens = standing.read_tokens * MIN(typical, 1);
+    double read_tokens = candidate.read_tokens * MIN(typical_ratio, 1);
     double in_time =
         (double)r->target_ms * r->tokens_per_ms / MAX(read_tokens, 1);
-    return CLAMP(in_time / e->slots, LONG_AWAY_SLOTS, LONG_HOME_SLOTS);
+    return CLAMP(in_time / e->slots, LONG_NOT_HOME_SLOTS_FRACTION,
+                 LONG_HOME_SLOTS_FRACTION);
 }
 
 static gboolean
-has_place(const endpoint_t *e, const placement_request_t *r,
-          standing_t standing)
+has_slot(const endpoint_t *e, const placement_request_t *r,
+         candidate_t candidate)
 {
-    double part = SHORT_SLOTS;
+    double max_fraction = SHORT_SLOTS_FRACTION;
     if (r->prompt_tokens == 0) {
-        part = PLAIN_SLOTS;
+        max_fraction = PLAIN_SLOTS_FRACTION;
     }
     else if (prompt_is_long(r->prompt_tokens)) {
-        part = long_slots(e, r, standing);
+        max_fraction = long_slots_fraction(e, r, candidate);
     }
     if (prompt_is_long(r->prompt_tokens) && r->memory_tokens > 0 &&
-        (double)tokens_at(e, r) > LONG_MEMORY * (double)r->memory_tokens) {
+        (double)estimated_prompt_tokens(e, r) >
+            LONG_MEMORY_FRACTION * (double)r->memory_tokens) {
         return FALSE;
     }
     if (prompt_is_long(r->prompt_tokens) &&
-        rest_at(e) > (standing.on_side ? REST_SLOTS * e->slots : 0) &&
-        stalls(r, endpoint_waiting(e) + standing.read_tokens)) {
+        short_running(e) > (candidate.in_partition
+                                ? SHORT_RUNNING_SLOTS_FRACTION * e->slots
+                                : 0) &&
+        stalls_streams(r, endpoint_waiting(e) + candidate.read_tokens)) {
         return FALSE;
     }
-    return running_at(e, r) < MAX(part * e->slots, 1);
+    return estimated_running(e, r) < MAX(max_fraction * e->slots, 1);
 }
 
 /* What leaving the home of its shared parts has to spare a long prompt, in
  * parts of its objective. */
 static double
-away_part(standing_t standing)
+not_home_target_fraction(candidate_t candidate)
 {
-    if (standing.rank == 0) {
+    if (candidate.position == 0) {
         return 0;
     }
-    return standing.rank < PART_HOMES_MAX ? LONG_KEEPER_PART : LONG_AWAY_PART;
+    return candidate.position < PART_HOMES_MAX ? LONG_FALLBACK_TARGET_FRACTION
+                                               : LONG_NOT_HOME_TARGET_FRACTION;
 }
 
 /* What sending the request to an engine costs, in ms of its own waiting and of
@@ -298,92 +304,96 @@
  * loaded endpoint would be the most loaded next. Where a request chooses among
  * few endpoints, what all instances have there counts. */
 static double
-engine_ms(const endpoint_t *e, const placement_request_t *r,
-          standing_t standing)
+engine_cost_ms(const endpoint_t *e, const placement_request_t *r,
+               candidate_t candidate)
 {
-    guint own = r->prompt_tokens - shared_tokens(r);
-    double reread =
-        standing.read_tokens > own ? standing.read_tokens - own : 0;
+    guint own_tokens = r->prompt_tokens - shared_tokens(r);
+    double reread = candidate.read_tokens > own_tokens
+                        ? candidate.read_tokens - own_tokens
+                        : 0;
     double ms =
-        (double)(e->waiting_tokens + standing.read_tokens) / r->tokens_per_ms;
+        (double)(e->waiting_tokens + candidate.read_tokens) / r->tokens_per_ms;
     if (prompt_is_long(r->prompt_tokens)) {
         ms += e->others.waiting_tokens / r->tokens_per_ms;
-        ms += away_part(standing) * (double)r->target_ms;
-        ms += rest_at(e) * LONG_AT_REST_PART * (double)r->target_ms;
+        ms += not_home_target_fraction(candidate) * (double)r->target_ms;
+        ms += short_running(e) * LONG_PER_SHORT_TARGET_FRACTION *
+              (double)r->target_ms;
     }
     else {
-        ms += stalls(r, endpoint_waiting(e)) ? SHORT_STALLED_MS : 0;
-        ms += SHORT_FULL_MS * MAX(fullness(e) - SHORT_FULL_FROM, 0);
-        if (standing.rank >= PART_HOMES_MAX) {
-            ms += SHORT_AWAY_PART * REREAD_WEIGHT * shared_tokens(r) /
+        ms += stalls_streams(r, endpoint_waiting(e)) ? SHORT_STALL_COST_MS : 0;
+        ms += SHORT_FULL_COST_MS *
+              MAX(slots_used_fraction(e) - SHORT_FULL_MIN_FRACTION, 0);
+        if (candidate.position >= PART_HOMES_MAX) {
+            ms += SHORT_NOT_HOME_FRACTION * REREAD_WEIGHT * shared_tokens(r) /
                   r->tokens_per_ms;
         }
     }
     ms += reread * (REREAD_WEIGHT - 1) / r->tokens_per_ms;
-    if (standing.fetch_tokens > 0) {
-        ms += standing.fetch_tokens / r->fetch_tokens_per_ms * FETCH_WEIGHT;
+    if (candidate.fetch_tokens > 0) {
+        ms += candidate.fetch_tokens / r->fetch_tokens_per_ms * FETCH_WEIGHT;
     }
-    ms += e->running * RUNNING_ENGINE_MS;
-    if (!standing.on_side) {
-        ms += OFF_SIDE_MS;
+    ms += e->running * ENGINE_REQUEST_COST_MS;
+    if (!candidate.in_partition) {
+        ms += OTHER_PARTITION_COST_MS;
     }
     return ms;
 }
 
 static double
-plain_ms(const endpoint_t *e, gint64 now_us)
+plain_cost_ms(const endpoint_t *e, gint64 now_us)
 {
-    double connect = endpoint_connected(e, now_us) ? 0 : CONNECT_MS;
-    return e->running * RUNNING_PLAIN_MS + connect;
+    double connect = endpoint_connected(e, now_us) ? 0 : CONNECT_COST_MS;
+    return e->running * PLAIN_REQUEST_COST_MS + connect;
 }
 
 /* Whether going there costs nothing for its data centre. A keeper of shared
  * parts elsewhere is worth it: what is not read again takes more of an
  * engine's time than the way, and a request is few bytes. */
 static gboolean
-near_enough(const endpoint_t *e, const placement_request_t *r,
-            standing_t standing)
+is_local_or_home(const endpoint_t *e, const placement_request_t *r,
+                 candidate_t candidate)
 {
-    gboolean keeps = r->part_count >= 2 && standing.rank < PART_HOMES_MAX;
-    return keeps || g_strcmp0(e->data_centre, r->data_centre) == 0;
+    gboolean is_home =
+        r->part_count >= 2 && candidate.position < PART_HOMES_MAX;
+    return is_home || g_strcmp0(e->data_centre, r->data_centre) == 0;
 }
 
 static double
-expected_ms(const endpoint_t *e, const placement_request_t *r,
-            standing_t standing, gint64 now_us)
+expected_cost_ms(const endpoint_t *e, const placement_request_t *r,
+                 candidate_t candidate, gint64 now_us)
 {
-    double ms =
-        r->prompt_tokens > 0 ? engine_ms(e, r, standing) : plain_ms(e, now_us);
-    ms += e->failures * FAILURE_MS;
-    if (!near_enough(e, r, standing)) {
-        ms += FAR_MS;
+    double ms = r->prompt_tokens > 0 ? engine_cost_ms(e, r, candidate)
+                                     : plain_cost_ms(e, now_us);
+    ms += e->failures * FAILURE_COST_MS;
+    if (!is_local_or_home(e, r, candidate)) {
+        ms += REMOTE_COST_MS;
     }
-    ms += now_us < e->cold_until_us ? COLD_MS : 0;
+    ms += now_us < e->cold_until_us ? COLD_COST_MS : 0;
     return ms;
 }
 
 /* Whether it may take the request at all; counts why not. */
 static gboolean
-is_candidate(const endpoint_t *e, const placement_request_t *r,
-             standing_t standing, placement_counts_t *counts, gint64 now_us)
+is_eligible(const endpoint_t *e, const placement_request_t *r,
+            candidate_t candidate, placement_counts_t *counts, gint64 now_us)
 {
-    guint *why = NULL;
+    guint *counter = NULL;
     if (!endpoint_usable(e, now_us)) {
-        why = &counts->unusable;
+        counter = &counts->unusable;
     }
     else if (was_tried(r, e)) {
-        why = &counts->tried;
+        counter = &counts->tried;
     }
     else if (now_us < e->full_until_us) {
-        why = &counts->full;
+        counter = &counts->full;
     }
-    else if (!has_place(e, r, standing)) {
-        why = &counts->no_slot;
+    else if (!has_slot(e, r, candidate)) {
+        counter = &counts->no_slot;
     }
-    if (why != NULL) {
-        (*why)++;
+    if (counter != NULL) {
+        (*counter)++;
     }
-    return why == NULL;
+    return counter == NULL;
 }
 
 /* Whether its limit keeps the request away. */
@@ -421,34 +431,35 @@
  * take the one that was the least loaded; each takes the least loaded of a few
  * drawn at random. */
 static guint
-sample_most(const placement_request_t *r)
+sample_max(const placement_request_t *r)
 {
     if (r->prompt_tokens == 0) {
         return G_MAXUINT;
     }
-    return prompt_is_long(r->prompt_tokens) ? LONG_SAMPLE : SHORT_SAMPLE;
+    return prompt_is_long(r->prompt_tokens) ? LONG_SAMPLE_MAX
+                                            : SHORT_SAMPLE_MAX;
 }
 
 /* A choice being made: the best of those that are open, or of those closed
  * after failures. */
 typedef struct {
     const placement_request_t *request;
-    part_ranking_t keepers; /* of the request's shared parts */
+    part_ranking_t ranking; /* of the request's shared parts */
     gboolean closed;
     gint64 now_us;
     placement_t best;
-    double best_ms;
-    double denied_ms; /* of best.denied */
+    double best_cost_ms;
+    double denied_cost_ms; /* of best.denied */
 } choice_t;
 
-static standing_t
-standing_of(const choice_t *c, const endpoint_t *e, gboolean on_side)
+static candidate_t
+candidate_of(const choice_t *c, const endpoint_t *e, gboolean in_partition)
 {
     /* A prompt that shares no part is at home anywhere on its side. */
-    gboolean anywhere = c->keepers.count == 0 && on_side;
-    return (standing_t){
-        .rank = anywhere ? 0 : part_ranking_position(&c->keepers, e),
-        .on_side = on_side,
+    gboolean anywhere = c->ranking.count == 0 && in_partition;
+    return (candidate_t){
+        .position = anywhere ? 0 : part_ranking_position(&c->ranking, e),
+        .in_partition = in_partition,
     };
 }
 
@@ -457,16 +468,16 @@
 choice_source(const choice_t *c, const endpoint_t *e)
 {
     return c->request->fetch_tokens_per_ms > 0
-               ? part_ranking_source(&c->keepers, e, c->now_us)
+               ? part_ranking_source(&c->ranking, e, c->now_us)
                : NULL;
 }
 
 /* Whether it can be chosen; counts why not. */
 static gboolean
-choice_allows(choice_t *c, const endpoint_t *e, standing_t standing)
+choice_allows(choice_t *c, const endpoint_t *e, candidate_t candidate)
 {
     placement_counts_t *counts = &c->best.counts;
-    if (!is_candidate(e, c->request, standing, counts, c->now_us)) {
+    if (!is_eligible(e, c->request, candidate, counts, c->now_us)) {
         return FALSE;
     }
     if (endpoint_open(e, c->now_us) == c->closed) {
@@ -477,33 +488,33 @@
 }
 
 static void
-choice_deny(choice_t *c, endpoint_t *e, double ms)
+choice_record_denied(choice_t *c, endpoint_t *e, double ms)
 {
-    if (c->best.denied == NULL || ms < c->denied_ms) {
+    if (c->best.denied == NULL || ms < c->denied_cost_ms) {
         c->best.denied = e;
-        c->denied_ms = ms;
+        c->denied_cost_ms = ms;
     }
 }
 
 /* Whether it can be chosen; it is when it is better than the best so far. */
 static gboolean
-choice_consider(choice_t *c, endpoint_t *e, standing_t standing)
+choice_consider(choice_t *c, endpoint_t *e, candidate_t candidate)
 {
     const endpoint_t *source = choice_source(c, e);
-    set_tokens(&standing, e, c->request, source != NULL);
-    if (!choice_allows(c, e, standing)) {
+    candidate_set_tokens(&candidate, e, c->request, source != NULL);
+    if (!choice_allows(c, e, candidate)) {
         return FALSE;
     }
-    double ms = expected_ms(e, c->request, standing, c->now_us);
+    double ms = expected_cost_ms(e, c->request, candidate, c->now_us);
     if (is_limited(e, c->request)) {
-        choice_deny(c, e, ms);
+        choice_record_denied(c, e, ms);
         return FALSE;
     }
-    if (c->best.endpoint == NULL || ms < c->best_ms) {
+    if (c->best.endpoint == NULL || ms < c->best_cost_ms) {
         c->best.endpoint = e;
         c->best.source = source;
-        c->best.read_tokens = standing.read_tokens;
-        c->best_ms = ms;
+        c->best.read_tokens = candidate.read_tokens;
+        c->best_cost_ms = ms;
     }
     return TRUE;
 }
@@ -514,11 +525,11 @@
  * the whole side would all send to the few engines that looked idle a moment
  * before. */
 static void
-choice_rank(choice_t *c)
+choice_consider_ranked(choice_t *c)
 {
-    for (guint i = 0; i < c->keepers.count; i++) {
-        standing_t standing = {.rank = i, .on_side = TRUE};
-        choice_consider(c, c->keepers.at[i], standing);
+    for (guint i = 0; i < c->ranking.count; i++) {
+        candidate_t candidate = {.position = i, .in_partition = TRUE};
+        choice_consider(c, c->ranking.ranked[i], candidate);
     }
 }
 
@@ -526,75 +537,81 @@
  * where `blind`, those that can not count among them: an endpoint that is the
  * only idle one of many is then not found by all instances at once. */
 static void
-choice_draw(choice_t *c, const GPtrArray *endpoints, partition_t side,
-            gboolean on_side, guint most, gboolean blind)
+choice_consider_sample(choice_t *c, const GPtrArray *endpoints,
+                       partition_t partition, gboolean in_partition,
+                       guint max_count, gboolean count_rejected)
 {
     guint drawn = 0;
-    guint count = side.to - side.from;
-    for (guint i = 0; i < count && drawn < most; i++) {
-        guint at = side.from + (c->request->draw + i) % count;
-        endpoint_t *e = endpoints->pdata[at];
-        standing_t standing = standing_of(c, e, on_side);
+    guint count = partition.to - partition.from;
+    for (guint i = 0; i < count && drawn < max_count; i++) {
+        guint index = partition.from + (c->request->draw + i) % count;
+        endpoint_t *e = endpoints->pdata[index];
+        candidate_t candidate = candidate_of(c, e, in_partition);
         gboolean ranked =
-            c->keepers.count > 0 && standing.rank < PART_RANKED_MAX;
+            c->ranking.count > 0 && candidate.position < PART_RANKED_MAX;
         if (!ranked) {
-            drawn += choice_consider(c, e, standing) || blind;
+            drawn += choice_consider(c, e, candidate) || count_rejected;
         }
     }
 }
 
 /* Nothing was found: says of all endpoints why they could not take it. */
 static void
-choice_count(choice_t *c, const GPtrArray *endpoints, partition_t side)
+choice_count_rejections(choice_t *c, const GPtrArray *endpoints,
+                        partition_t partition)
 {
     c->best.counts = (placement_counts_t){.known = endpoints->len};
     for (guint i = 0; i < endpoints->len; i++) {
         const endpoint_t *e = endpoints->pdata[i];
-        gboolean on_side = i >= side.from && i < side.to;
-        standing_t standing = standing_of(c, e, on_side);
-        set_tokens(&standing, e, c->request, choice_source(c, e) != NULL);
+        gboolean in_partition = i >= partition.from && i < partition.to;
+        candidate_t candidate = candidate_of(c, e, in_partition);
+        candidate_set_tokens(&candidate, e, c->request,
+                             choice_source(c, e) != NULL);
         c->best.counts.limited +=
-            choice_allows(c, e, standing) && is_limited(e, c->request);
+            choice_allows(c, e, candidate) && is_limited(e, c->request);
     }
 }
 
 static partition_t
-side_beyond(partition_t side, guint count)
+other_partition(partition_t partition, guint count)
 {
-    return side.from == 0 ? (partition_t){.from = side.to, .to = count}
-                          : (partition_t){.from = 0, .to = side.from};
+    return partition.from == 0
+               ? (partition_t){.from = partition.to, .to = count}
+               : (partition_t){.from = 0, .to = partition.from};
 }
 
 static placement_t
 pick_among(const GPtrArray *endpoints, const placement_request_t *r,
            gboolean closed, gint64 now_us)
 {
-    partition_t side = side_of(endpoints, r);
+    partition_t partition = partition_of(endpoints, r);
     choice_t c = {
         .request = r,
-        .keepers =
-            part_ranking_build(endpoints, side, placement_shared_part(r).id,
-                               placement_prefix_part(r).id, now_us),
+        .ranking = part_ranking_build(endpoints, partition,
+                                      placement_shared_part(r).id,
+                                      placement_prefix_part(r).id, now_us),
         .closed = closed,
         .now_us = now_us,
         .best = {.counts = {.known = endpoints->len}},
     };
     gboolean is_long = prompt_is_long(r->prompt_tokens);
-    gboolean leaves = is_long && c.keepers.count > 0;
-    c.best.prefix_cached = c.keepers.prefix_holder != NULL;
-    choice_rank(&c);
+    gboolean leaves_home = is_long && c.ranking.count > 0;
+    c.best.prefix_cached = c.ranking.prefix_source != NULL;
+    choice_consider_ranked(&c);
     if (c.best.endpoint == NULL ||
-        c.best_ms > RANKED_PART * (double)r->target_ms) {
-        choice_draw(&c, endpoints, side, TRUE, sample_most(r), leaves);
+        c.best_cost_ms > RANKED_TARGET_FRACTION * (double)r->target_ms) {
+        choice_consider_sample(&c, endpoints, partition, TRUE, sample_max(r),
+                               leaves_home);
         if (is_long || c.best.endpoint == NULL) {
-            partition_t beyond = side_beyond(side, endpoints->len);
-            choice_draw(&c, endpoints, beyond, FALSE, sample_most(r), FALSE);
+            partition_t other = other_partition(partition, endpoints->len);
+            choice_consider_sample(&c, endpoints, other, FALSE, sample_max(r),
+                                   FALSE);
         }
     }
     if (c.best.endpoint == NULL) {
-        choice_count(&c, endpoints, side);
+        choice_count_rejections(&c, endpoints, partition);
     }
-    else if (c.best.denied != NULL && c.denied_ms >= c.best_ms) {
+    else if (c.best.denied != NULL && c.denied_cost_ms >= c.best_cost_ms) {
         c.best.denied = NULL;
     }
     return c.best;
--- a/policy/prompt_mix.c
+++ b/policy/prompt_mix.c
@@ -4,66 +4,67 @@
 
 /* A prompt of so many tokens holds an engine up for two chunks of its reading
  * or more, some 65 ms, a quarter of the shortest pause objective (250 ms). */
-static const guint LONG_TOKENS = 4000;
+static const guint LONG_PROMPT_MIN_TOKENS = 4000;
 /* A service that got no long prompt for so long is not parted. */
-static const gint64 LONG_REMEMBERED_US = 60 * G_USEC_PER_SEC;
+static const gint64 LONG_PROMPT_EXPIRY_US = 60 * G_USEC_PER_SEC;
 /* Until then an instance can not know whether it gets any: at 13 requests a
  * second, one in seven of them long, it would have met one. Without the
  * parting, chats begun in the first second share their engines with long
  * prompts to their end and miss their deadline (48 of 2,120 on a heavy day of
  * 9 engines). */
-static const gint64 LONG_UNKNOWN_US = 10 * G_USEC_PER_SEC;
+static const gint64 LONG_PROMPT_DETECTION_US = 10 * G_USEC_PER_SEC;
 
 gboolean
 prompt_is_long(guint prompt_tokens)
 {
-    return prompt_tokens >= LONG_TOKENS;
+    return prompt_tokens >= LONG_PROMPT_MIN_TOKENS;
 }
 
 /* What came counts for about so long. */
-static const double ARRIVALS_S = 1.5;
+static const double ARRIVALS_DECAY_S = 1.5;
 
 /* Of the newest prompt in the mean: an instance among 300 gets one long prompt
  * a second. */
 static const double MEAN_WEIGHT = 0.05;
 
 static double
-remembered(const prompt_kind_t *kind, gint64 now_us)
+decay_since_last(const prompt_kind_t *kind, gint64 now_us)
 {
-    double age_s = (double)(now_us - kind->at_us) / G_USEC_PER_SEC;
-    return exp(-age_s / ARRIVALS_S);
+    double age_s = (double)(now_us - kind->last_us) / G_USEC_PER_SEC;
+    return exp(-age_s / ARRIVALS_DECAY_S);
 }
 
 static void
-note_kind(prompt_kind_t *kind, prompt_sample_t note, gint64 now_us)
+record_kind(prompt_kind_t *kind, prompt_sample_t sample, gint64 now_us)
 {
-    gboolean first = kind->at_us == 0;
-    double kept = first ? 0 : remembered(kind, now_us);
-    kind->arrivals = kind->arrivals * kept + 1;
-    kind->tokens = kind->tokens * kept + note.prompt_tokens;
+    gboolean first = kind->last_us == 0;
+    double decay = first ? 0 : decay_since_last(kind, now_us);
+    kind->arrivals = kind->arrivals * decay + 1;
+    kind->tokens = kind->tokens * decay + sample.prompt_tokens;
     kind->mean_tokens +=
-        first ? note.prompt_tokens
-              : MEAN_WEIGHT * (note.prompt_tokens - kind->mean_tokens);
-    kind->at_us = now_us;
-    kind->target_ms = note.target_ms;
+        first ? sample.prompt_tokens
+              : MEAN_WEIGHT * (sample.prompt_tokens - kind->mean_tokens);
+    kind->last_us = now_us;
+    kind->target_ms = sample.target_ms;
     kind->priority =
-        first ? note.priority : MIN(kind->priority, note.priority);
+        first ? sample.priority : MIN(kind->priority, sample.priority);
 }
 
 void
-prompt_mix_record(prompt_mix_t *mix, prompt_sample_t note, gint64 now_us)
+prompt_mix_record(prompt_mix_t *mix, prompt_sample_t sample, gint64 now_us)
 {
     if (mix->first_us == 0) {
         mix->first_us = now_us;
     }
-    if (prompt_is_long(note.prompt_tokens)) {
-        note_kind(&mix->long_prompts, note, now_us);
+    if (prompt_is_long(sample.prompt_tokens)) {
+        record_kind(&mix->long_prompts, sample, now_us);
         return;
     }
-    note_kind(&mix->short_prompts, note, now_us);
-    if (note.pause_ms > 0 && (mix->short_prompt_pause_ms == 0 ||
-                              note.pause_ms < mix->short_prompt_pause_ms)) {
-        mix->short_prompt_pause_ms = note.pause_ms;
+    record_kind(&mix->short_prompts, sample, now_us);
+    if (sample.pause_ms > 0 &&
+        (mix->short_prompt_pause_ms == 0 ||
+         sample.pause_ms < mix->short_prompt_pause_ms)) {
+        mix->short_prompt_pause_ms = sample.pause_ms;
     }
 }
 
@@ -76,20 +77,20 @@
 gboolean
 prompt_mix_needs_partition(const prompt_mix_t *mix, gint64 now_us)
 {
-    if (mix->long_prompts.at_us != 0) {
-        return now_us - mix->long_prompts.at_us < LONG_REMEMBERED_US;
+    if (mix->long_prompts.last_us != 0) {
+        return now_us - mix->long_prompts.last_us < LONG_PROMPT_EXPIRY_US;
     }
-    return now_us - mix->first_us < LONG_UNKNOWN_US;
+    return now_us - mix->first_us < LONG_PROMPT_DETECTION_US;
 }
 
 static void
-fill_kind(const prompt_kind_t *kind, guint instances, gint64 now_us,
-          kind_load_t *load)
+fill_kind_load(const prompt_kind_t *kind, guint instances, gint64 now_us,
+               kind_load_t *load)
 {
-    double arrivals = kind->arrivals * remembered(kind, now_us);
+    double arrivals = kind->arrivals * decay_since_last(kind, now_us);
     load->target_ms = kind->target_ms;
     load->priority = kind->priority;
-    load->arrivals_per_s = instances * arrivals / ARRIVALS_S;
+    load->arrivals_per_s = instances * arrivals / ARRIVALS_DECAY_S;
     load->prompt_tokens =
         kind->arrivals > 0 ? kind->tokens / kind->arrivals : 0;
 }
@@ -98,7 +99,9 @@
 prompt_mix_fill_demand(const prompt_mix_t *mix, guint instances, gint64 now_us,
                        split_demand_t *demand)
 {
-    fill_kind(&mix->long_prompts, instances, now_us, &demand->long_prompts);
-    fill_kind(&mix->short_prompts, instances, now_us, &demand->short_prompts);
+    fill_kind_load(&mix->long_prompts, instances, now_us,
+                   &demand->long_prompts);
+    fill_kind_load(&mix->short_prompts, instances, now_us,
+                   &demand->short_prompts);
     demand->short_prompts.pause_ms = mix->short_prompt_pause_ms;
 }
--- a/policy/quantile.c
+++ b/policy/quantile.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-enum { FADE_AT = 400 };
-static const double TRIM = 0.95;
+enum { DECAY_WEIGHT = 400 };
+static const double TRIMMED_FRACTION = 0.95;
 
 static int
 bucket_of(double value)
@@ -24,7 +24,7 @@
 void
 quantile_add(quantile_t *quantile, double value)
 {
-    if (quantile->total >= FADE_AT) {
+    if (quantile->total >= DECAY_WEIGHT) {
         for (int i = 0; i < QUANTILE_BUCKETS; i++) {
             quantile->weights[i] /= 2;
         }
@@ -40,10 +40,10 @@
     if (quantile->total < 1) {
         return fallback;
     }
-    double left = q * quantile->total;
+    double remaining = q * quantile->total;
     for (int i = 0; i < QUANTILE_BUCKETS; i++) {
-        left -= quantile->weights[i];
-        if (left <= 0) {
+        remaining -= quantile->weights[i];
+        if (remaining <= 0) {
             return bucket_value(i);
         }
     }
@@ -56,14 +56,14 @@
     if (quantile->total < 1) {
         return fallback;
     }
-    double left = TRIM * quantile->total;
+    double remaining = TRIMMED_FRACTION * quantile->total;
     double sum = 0;
     double weight = 0;
-    for (int i = 0; i < QUANTILE_BUCKETS && left > 0; i++) {
-        double part = MIN(left, quantile->weights[i]);
-        sum += part * bucket_value(i);
-        weight += part;
-        left -= part;
+    for (int i = 0; i < QUANTILE_BUCKETS && remaining > 0; i++) {
+        double weight_taken = MIN(remaining, quantile->weights[i]);
+        sum += weight_taken * bucket_value(i);
+        weight += weight_taken;
+        remaining -= weight_taken;
     }
     return weight > 0 ? sum / weight : fallback;
 }
