--- a/policy/keepers.c
+++ b/policy/keepers.c
@@ -2,7 +2,7 @@
 
 #include "carobloom/policy/rendezvous.h"
 
-/* One that fails a tenth of its requests is not asked for its memory. */
+/* Endpoints with this failure rate or a higher one are not fetched from. */
 static const double SOURCE_FAILURES_MAX = 0.1;
 
 typedef struct {
@@ -14,7 +14,7 @@
     guint64 prefix_source_weight;
 } ranking_builder_t;
 
-/* Whether an endpoint is well enough to be asked for its memory. */
+/* Whether an endpoint is healthy enough to fetch from. */
 static gboolean
 is_healthy(const endpoint_t *e, gint64 now_us)
 {
@@ -22,7 +22,7 @@
            e->failures < SOURCE_FAILURES_MAX;
 }
 
-/* Whether its memory is there to be asked for. */
+/* Whether other endpoints can fetch from its memory. */
 static gboolean
 can_serve_fetch(const endpoint_t *e, gint64 now_us)
 {
@@ -30,7 +30,7 @@
            (endpoint_usable(e, now_us) || endpoint_lends(e, now_us));
 }
 
-/* Puts an endpoint in its place, if it has one among the first. */
+/* Inserts an endpoint by weight if it is among the first PART_RANKED_MAX. */
 static void
 builder_insert(ranking_builder_t *r, endpoint_t *e, guint64 weight)
 {
@@ -82,7 +82,7 @@
     }
 }
 
-/* All instances ask the same one, so that it surely has the part. */
+/* All instances choose the same source, so that it surely has the part. */
 static void
 builder_record_prefix_source(ranking_builder_t *r, const endpoint_t *e,
                              guint64 prefix, gint64 now_us)
@@ -150,9 +150,10 @@
     const endpoint_t *home = ranking->count > 0 ? ranking->ranked[0] : NULL;
     const endpoint_t *fallback =
         ranking->count > 1 ? ranking->ranked[1] : NULL;
-    /* Those that have it as is known; where none is known, those that most
-     * likely do. What leaves takes its memory with it: it goes first. The home
-     * itself asks for the part before it rather than for a guess. */
+    /* Endpoints that were sent the part come first, then those that are likely
+     * to have it. A draining home precedes the home, since its cache is about
+     * to be lost. The home itself prefers the source of the preceding part to
+     * the fallback home, which may not have the part. */
     const endpoint_t *const candidates[] = {ranking->sources[0],
                                             ranking->sources[1],
                                             ranking->draining_home,
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -4,91 +4,96 @@
 #include "carobloom/policy/prompt_mix.h"
 #include "carobloom/policy/rendezvous.h"
 
-/* Where each figure comes from, and what half and twice of it do, stands in
- * docs/design/constants.md. */
+/* docs/design/constants.md gives the source of each constant, and the effect
+ * of half and twice its value. */
 
-/* What one more request under way costs the next, in ms: on engines the step
- * grows little; a plain server works one off in about 15 ms on 6 slots. */
+/* Cost of each request in flight for the next one: on an engine, each adds a
+ * little to the step time; a plain server finishes one in about 15 ms on 6
+ * slots. */
 static const double ENGINE_REQUEST_COST_MS = 1.0;
 static const double PLAIN_REQUEST_COST_MS = 2.5;
-/* Going to another data centre, for the bytes: as much as 30 running requests
- * at an engine. */
+/* Cost of sending to a remote data centre, for the traffic: as much as 30
+ * requests in flight at an engine. */
 static const double REMOTE_COST_MS = 30.0;
-/* A request at an endpoint that fails always is lost, or repeated after a
+/* Cost at a failure rate of 1: the request is lost, or retried after a
  * multiple of its objective. */
 static const double FAILURE_COST_MS = 400.0;
 static const double COLD_COST_MS = 30.0;
-/* A new connection to a plain server: a round trip and the server's work on
- * it. Less than one request under way, so that it only decides among equals:
- * of hundreds of idle ones an instance uses those that it is connected to. */
+/* Cost of a new connection to a plain server: a round trip and the server's
+ * work on it. It is less than that of one request in flight, so it only
+ * decides between otherwise equal endpoints: of hundreds of idle endpoints, an
+ * instance prefers those that it is connected to. */
 static const double CONNECT_COST_MS = 1.0;
-/* Reading a shared part again costs the engine its time and is priced: it
- * weighs so many times its time. */
+/* Reading a shared part again uses up engine time, so it is priced at this
+ * multiple of that time. */
 static const double REREAD_WEIGHT = 3.0;
-/* Fetching it from another engine takes a fourteenth of that, and is priced
- * too. */
+/* Fetching a part from another engine is priced too, though it takes a
+ * fourteenth of the time of reading it. */
 static const double FETCH_WEIGHT = 3.0;
 
-/* Prompts that are read in one go hold up the streams beside them: at most for
- * so much of the shortest objective of their pauses, since other instances may
- * send there at the same time. */
+/* Prompts that an engine reads in one go delay its streams. Limits that delay
+ * to this fraction of the shortest pause objective, since other instances may
+ * send to the same engine at the same time. */
 static const double STALL_PAUSE_FRACTION = 0.4;
-/* A short prompt rather goes where 200 others run than where one of those
- * reads holds its stream up. */
+/* Cost to a short prompt of an engine where its stream would be delayed by
+ * such a read: as much as 200 requests in flight. */
 static const double SHORT_STALL_COST_MS = 200.0;
-/* An engine whose slots are nearly full makes a short prompt wait for one:
- * over half of them, each tenth weighs 10 ms, so that a full one weighs more
- * than going to another data centre. */
+/* A short prompt waits for a slot on an engine that is nearly full. Above half
+ * of the slots, each further tenth costs 10 ms, so that a full engine costs
+ * more than a remote data centre. */
 static const double SHORT_FULL_COST_MS = 100.0;
 static const double SHORT_FULL_MIN_FRACTION = 0.5;
-/* Short prompts for which no ranked endpoint is good enough take the best of
- * so many, drawn anywhere on their side. */
+/* A short prompt for which no ranked endpoint is good enough takes the best of
+ * this many endpoints, sampled at random from its partition. */
 static const guint SHORT_SAMPLE_MAX = 4;
-/* To a short prompt that leaves the keepers of its shared part, in parts of
- * the time that reading it again costs: an engine that is asked for the part
- * has it only if others went there before. */
+/* Extra cost to a short prompt that leaves the homes of its shared part, as a
+ * fraction of the cost of reading the part again. A fetch finds the part on
+ * another engine only if an earlier request went there. */
 static const double SHORT_NOT_HOME_FRACTION = 0.5;
-/* A long prompt that leaves its keepers takes the best of so many, beside the
- * next ranked for its part. */
+/* A long prompt that leaves its homes takes the best of this many endpoints,
+ * besides those ranked for its part. */
 static const guint LONG_SAMPLE_MAX = 4;
-/* While one of the endpoints ranked for its part serves a request within such
- * a part of its objective, no other is considered. */
+/* While the cost at one of the ranked endpoints is within this fraction of the
+ * objective, no other endpoint is considered. */
 static const double RANKED_TARGET_FRACTION = 0.5;
-/* Off its side a prompt goes when it spares it this much. */
+/* A prompt leaves its partition only if that saves this much. */
 static const double OTHER_PARTITION_COST_MS = 100.0;
-/* To a long prompt, in parts of its objective, each stream that is not long on
- * an engine: the border moved over them and they still run there. Seven of
- * them make it go to the next keeper. */
+/* Cost to a long prompt of each stream of a short prompt on the engine, as a
+ * fraction of the objective. Such streams are left over when the partition
+ * boundary has moved across the engine. Seven of them make the prompt go to
+ * the fallback home. */
 static const double LONG_PER_SHORT_TARGET_FRACTION = 0.06;
 
-/* Parts of an engine's slots that requests may take. While prompts are read
- * all the time a token takes ten times as long, so that long answers do not
- * end in time. Short prompts may wait for a moment. */
+/* Fractions of an engine's slots that requests may take. While an engine keeps
+ * reading prompts, a token takes ten times as long, and long answers would not
+ * finish in time. Short prompts may wait for a moment. */
 static const double LONG_HOME_SLOTS_FRACTION = 0.85;
-/* And of its memory, by the tokens of the prompts that run there: above, parts
- * that many share are dropped to make room and read again, and engines with
- * many slots read so much that no stream ends in time. */
+/* Fraction of an engine's memory that the prompts running there may take, in
+ * tokens. Above it, engines evict widely shared parts and read them again, and
+ * engines with many slots read so much that no stream finishes in time. */
 static const double LONG_MEMORY_FRACTION = 0.6;
-/* A long prompt leaves its home for a queue there of so much of its objective:
- * for the next keeper of its shared parts, or for another engine of its side.
- * Others later, so that few engines keep a part. */
+/* A long prompt leaves its home when the queue there exceeds these fractions
+ * of its objective: the first for the fallback home of its shared parts, the
+ * second for another engine of its partition. The second is larger, so that
+ * few engines cache a part. The slot fractions bound the long prompts on
+ * engines that are not a home, inside and outside the partition. */
 static const double LONG_FALLBACK_TARGET_FRACTION = 0.4;
 static const double LONG_NOT_HOME_TARGET_FRACTION = 0.7;
 static const double LONG_NOT_HOME_SLOTS_FRACTION = 0.15;
 static const double LONG_OTHER_PARTITION_SLOTS_FRACTION = 0.1;
-/* A long prompt that would hold streams up goes to no engine, of its side
- * either, where more than this part of the slots stream: the border has just
- * moved over them. */
+/* A long prompt that would delay streams goes to no engine where streams of
+ * short prompts use more than this fraction of the slots, not even in its own
+ * partition: the partition boundary has just moved across that engine. */
 static const double SHORT_RUNNING_SLOTS_FRACTION = 0.15;
 static const double SHORT_SLOTS_FRACTION = 1.2;
-/* Four times the slots of a plain server wait for three times its work, 45 ms
- * of an objective of 100. */
+/* With four requests per slot of a plain server, a request waits for three
+ * times the work of one: 45 ms of an objective of 100. */
 static const double PLAIN_SLOTS_FRACTION = 4.0;
 
 guint
 placement_unread_tokens(const endpoint_t *e, const placement_request_t *r)
 {
-    /* A part was read after those before it. */
+    /* A cached part implies that the parts before it were read too. */
     guint cached_parts = r->part_count;
     while (cached_parts > 0 &&
            !endpoint_has_part(e, r->parts[cached_parts - 1].id)) {
@@ -112,8 +117,8 @@
     return FALSE;
 }
 
-/* The last of a prompt's parts but its `last` ones, with the tokens of all up
- * to it. */
+/* The last part of the prompt without its last `excluded` parts, with the
+ * total tokens of the parts up to it. */
 static prompt_part_t
 prefix_without(const placement_request_t *r, guint excluded)
 {
@@ -126,7 +131,8 @@
     return part;
 }
 
-/* The last part is the request's own; the one before is what many share. */
+/* The last part belongs to the request alone. The part before it is the one
+ * that many prompts share. */
 prompt_part_t
 placement_shared_part(const placement_request_t *r)
 {
@@ -145,7 +151,7 @@
     return placement_shared_part(r).tokens;
 }
 
-/* Which endpoints are for prompts like this. */
+/* The partition of the endpoints that serves prompts of this length. */
 static partition_t
 partition_of(const GPtrArray *endpoints, const placement_request_t *r)
 {
@@ -159,12 +165,12 @@
                : (partition_t){.from = long_count, .to = count};
 }
 
-/* How an endpoint stands to a request. */
+/* An endpoint as a candidate for a request. */
 typedef struct {
-    guint position; /* among the keepers of its shared parts; 0: their home */
+    guint position; /* in the ranking of its shared parts; 0: home */
     gboolean in_partition;
-    guint read_tokens;  /* it would have to read */
-    guint fetch_tokens; /* it would fetch from the home's memory */
+    guint read_tokens;  /* that it would have to read */
+    guint fetch_tokens; /* that it would fetch from another endpoint */
 } candidate_t;
 
 static void
@@ -183,10 +189,10 @@
     }
 }
 
-/* Requests under way there, of all instances. Callers are spread evenly over
- * them, so when nothing is told of the others they are taken to have as many
- * as this one. That is a coarse count; short requests, which end at once, are
- * not refused by it. */
+/* Requests that all instances have in flight at the endpoint. Callers are
+ * spread evenly over the instances, so while the loads of the others are
+ * unknown, each is assumed to have as many as this one. That estimate is
+ * coarse, so it isn't applied to short prompts, which finish quickly. */
 static guint
 estimated_running(const endpoint_t *e, const placement_request_t *r)
 {
@@ -197,7 +203,7 @@
                                             : e->running;
 }
 
-/* The tokens of the prompts of those requests. */
+/* Total tokens of the prompts of those requests. */
 static guint64
 estimated_prompt_tokens(const endpoint_t *e, const placement_request_t *r)
 {
@@ -206,7 +212,7 @@
                : (guint64)e->prompt_tokens + e->others.prompt_tokens;
 }
 
-/* Requests that are not long at an endpoint, of all instances. */
+/* Requests without long prompts at the endpoint, of all instances. */
 static guint
 short_running(const endpoint_t *e)
 {
@@ -215,15 +221,15 @@
     return running - MIN(running, long_running);
 }
 
-/* Requests of all instances there, in parts of its slots. */
+/* Requests of all instances at the endpoint, as a fraction of its slots. */
 static double
 slots_used_fraction(const endpoint_t *e)
 {
     return (double)endpoint_running(e) / MAX(e->slots, 1);
 }
 
-/* Whether reading so many tokens in a row makes pauses late for what streams
- * beside. */
+/* Whether reading this many tokens in a row makes the streams on the same
+ * engine miss their pause objective. */
 static gboolean
 stalls_streams(const placement_request_t *r, double tokens)
 {
@@ -232,10 +238,10 @@
                         r->tokens_per_ms;
 }
 
-/* The part of its slots that long prompts may take. Away from where its shared
- * parts are kept, a long prompt costs the engine twice the reading: only those
- * with next to nothing to do take it. The next keeper takes as many as it
- * reads within their objective. */
+/* Fraction of the endpoint's slots that long prompts may take. Away from its
+ * homes, a long prompt costs an engine twice the reading, so only engines that
+ * are almost idle take it. The fallback home takes as many prompts as it reads
+ * within their objective. */
 static double
 long_slots_fraction(const endpoint_t *e, const placement_request_t *r,
                     candidate_t candidate)
@@ -249,8 +255,8 @@
     if (candidate.position >= PART_HOMES_MAX) {
         return LONG_NOT_HOME_SLOTS_FRACTION;
     }
-    /* As if it were a typical prompt: a large one must not find every engine
-     * full that others still find free. */
+    /* Assumes a prompt of typical size: otherwise a large prompt would find
+     * every engine full where others still find a slot. */
     double typical_ratio =
         r->long_tokens > 0 ? r->long_tokens / r->prompt_tokens : 1;
     double read_tokens = candidate.read_tokens * MIN(typical_ratio, 1);
@@ -286,8 +292,8 @@
     return estimated_running(e, r) < MAX(max_fraction * e->slots, 1);
 }
 
-/* What leaving the home of its shared parts has to spare a long prompt, in
- * parts of its objective. */
+/* How much a long prompt has to gain to leave its home, as a fraction of its
+ * objective. */
 static double
 not_home_target_fraction(candidate_t candidate)
 {
@@ -298,11 +304,13 @@
                                                : LONG_NOT_HOME_TARGET_FRACTION;
 }
 
-/* What sending the request to an engine costs, in ms of its own waiting and of
- * what others lose. Running requests count as this instance's own only: those
- * of the others are known a few hundred ms late, and what all see as the least
- * loaded endpoint would be the most loaded next. Where a request chooses among
- * few endpoints, what all instances have there counts. */
+/* Cost of sending the request to an engine, in ms of its own waiting time and
+ * of the delay for others.
+ *
+ * Only this instance's requests in flight are counted: the loads of the others
+ * are known a few hundred ms late, so if all instances chose the endpoint that
+ * they all see as the least loaded, it would become the most loaded. Terms for
+ * choices among few endpoints count the requests of all instances. */
 static double
 engine_cost_ms(const endpoint_t *e, const placement_request_t *r,
                candidate_t candidate)
@@ -346,9 +354,9 @@
     return e->running * PLAIN_REQUEST_COST_MS + connect;
 }
 
-/* Whether going there costs nothing for its data centre. A keeper of shared
- * parts elsewhere is worth it: what is not read again takes more of an
- * engine's time than the way, and a request is few bytes. */
+/* Whether the endpoint has no cost for its data centre. A remote home of the
+ * shared parts has none: the engine time that is saved by not reading them
+ * again outweighs the distance, and a request is few bytes. */
 static gboolean
 is_local_or_home(const endpoint_t *e, const placement_request_t *r,
                  candidate_t candidate)
@@ -372,7 +380,7 @@
     return ms;
 }
 
-/* Whether it may take the request at all; counts why not. */
+/* Whether the endpoint can take the request; if not, counts the reason. */
 static gboolean
 is_eligible(const endpoint_t *e, const placement_request_t *r,
             candidate_t candidate, placement_counts_t *counts, gint64 now_us)
@@ -396,7 +404,7 @@
     return counter == NULL;
 }
 
-/* Whether its limit keeps the request away. */
+/* Whether the endpoint's limit keeps the request from being sent there. */
 static gboolean
 is_limited(const endpoint_t *e, const placement_request_t *r)
 {
@@ -426,10 +434,10 @@
                                : "the endpoints left were tried";
 }
 
-/* How many endpoints of a side a request chooses from, beside the keepers of
- * its shared parts. Loads of others are told late, so that all instances would
- * take the one that was the least loaded; each takes the least loaded of a few
- * drawn at random. */
+/* How many endpoints of a partition a request samples, besides those ranked
+ * for its shared parts. The loads of other instances are known late, so if all
+ * instances chose the least loaded endpoint, they would overload it. Instead
+ * each chooses the least loaded of a few random ones. */
 static guint
 sample_max(const placement_request_t *r)
 {
@@ -440,8 +448,8 @@
                                             : SHORT_SAMPLE_MAX;
 }
 
-/* A choice being made: the best of those that are open, or of those closed
- * after failures. */
+/* State of one choice: the best endpoint so far, among those that are open or
+ * among those that are closed after failures. */
 typedef struct {
     const placement_request_t *request;
     part_ranking_t ranking; /* of the request's shared parts */
@@ -455,7 +463,8 @@
 static candidate_t
 candidate_of(const choice_t *c, const endpoint_t *e, gboolean in_partition)
 {
-    /* A prompt that shares no part is at home anywhere on its side. */
+    /* A prompt that shares no part is at home on every endpoint of its
+     * partition. */
     gboolean anywhere = c->ranking.count == 0 && in_partition;
     return (candidate_t){
         .position = anywhere ? 0 : part_ranking_position(&c->ranking, e),
@@ -463,7 +472,7 @@
     };
 }
 
-/* Whom it would fetch shared parts from; NULL when engines do not fetch. */
+/* The endpoint to fetch shared parts from; NULL when engines don't fetch. */
 static const endpoint_t *
 choice_source(const choice_t *c, const endpoint_t *e)
 {
@@ -472,7 +481,7 @@
                : NULL;
 }
 
-/* Whether it can be chosen; counts why not. */
+/* Whether the endpoint can be chosen; if not, counts the reason. */
 static gboolean
 choice_allows(choice_t *c, const endpoint_t *e, candidate_t candidate)
 {
@@ -496,7 +505,8 @@
     }
 }
 
-/* Whether it can be chosen; it is when it is better than the best so far. */
+/* Whether the endpoint can be chosen. Makes it the choice if it is better than
+ * the best so far. */
 static gboolean
 choice_consider(choice_t *c, endpoint_t *e, candidate_t candidate)
 {
@@ -519,11 +529,11 @@
     return TRUE;
 }
 
-/* Considers the endpoints of its side that are ranked for its shared part: the
- * keepers, and the next ones, where a prompt goes that leaves the keepers.
- * Each part has its own next ones: hundreds of instances that took the best of
- * the whole side would all send to the few engines that looked idle a moment
- * before. */
+/* Considers the endpoints of the partition that are ranked for the shared
+ * part: its homes, and the next ones, which take prompts that leave the homes.
+ * Each part has next ones of its own: if hundreds of instances chose the best
+ * of the whole partition, all would send to the few engines that looked idle a
+ * moment before. */
 static void
 choice_consider_ranked(choice_t *c)
 {
@@ -533,9 +543,10 @@
     }
 }
 
-/* Considers endpoints of a side drawn at random, `most` that can take it;
- * where `blind`, those that can not count among them: an endpoint that is the
- * only idle one of many is then not found by all instances at once. */
+/* Considers random endpoints of a partition until `max_count` of them can take
+ * the request. With `count_rejected`, endpoints that can't take it count too,
+ * so that not all instances find the only idle endpoint of many at the same
+ * time. */
 static void
 choice_consider_sample(choice_t *c, const GPtrArray *endpoints,
                        partition_t partition, gboolean in_partition,
@@ -555,7 +566,7 @@
     }
 }
 
-/* Nothing was found: says of all endpoints why they could not take it. */
+/* Counts the reasons of all endpoints when none was found. */
 static void
 choice_count_rejections(choice_t *c, const GPtrArray *endpoints,
                         partition_t partition)
@@ -622,8 +633,9 @@
                gint64 now_us)
 {
     placement_t best = pick_among(endpoints, r, FALSE, now_us);
-    /* All that are left were closed after failures: one of them is still
-     * better than none, but not than to come back to one that is well. */
+    /* If all remaining endpoints are closed after failures, one of them is
+     * still better than none. But it is worse than a retry at a healthy
+     * endpoint whose limit denied the request. */
     if (best.endpoint != NULL || best.denied != NULL) {
         return best;
     }
