--- a/policy/engine_model.c
+++ b/policy/engine_model.c
@@ -2,18 +2,19 @@
 
 #include <math.h>
 
-/* The last few hundred requests count. */
+/* The last few hundred requests determine the estimate. */
 static const double DECAY = 0.995;
 
-/* The guess at the start: 50 tokens a ms, within the speeds of engines met so
- * far once their batch has its part, and 20 ms before the first event. As much
- * as eight requests. */
+/* The initial estimate: 50 tokens per ms, within the range of known engines
+ * when their batch also gets its share of each step, and 20 ms before the
+ * first event. It weighs as much as eight requests. */
 static const double PRIOR_WEIGHT = 8;
 static const double PRIOR_FIRST_MS = 20;
 static const double PRIOR_TOKENS_PER_MS = 50;
-/* Tokens on either side of which the guess is spread. */
+/* The initial estimate acts like observations at this many tokens plus and
+ * minus as many. */
 static const double PRIOR_MEAN_TOKENS = 5000;
-/* Whatever is observed, an engine reads between 5 and 1,000 tokens a ms. */
+/* The estimate stays between 5 and 1,000 tokens per ms in any case. */
 static const double TOKENS_PER_MS_MIN = 5;
 static const double TOKENS_PER_MS_MAX = 1000;
 
@@ -40,7 +41,8 @@
     return TRUE;
 }
 
-/* A guess that weighs like observations at `x` - `spread` and + `spread`. */
+/* A line that weighs like observations at `x` - `spread` and `x` +
+ * `spread`. */
 static line_fit_t
 prior_line(double intercept, double slope, double x, double spread)
 {
@@ -58,7 +60,7 @@
                           PRIOR_MEAN_TOKENS, PRIOR_MEAN_TOKENS);
 }
 
-/* An outlier pulls no harder than several times what was expected. */
+/* Bounds an outlier to a multiple of the expected time. */
 static double
 bound_outlier(double ms, double expected_ms)
 {
--- a/policy/engine_split.c
+++ b/policy/engine_split.c
@@ -2,28 +2,30 @@
 
 #include <math.h>
 
-/* Until loads are told. */
+/* Applies until loads are reported. */
 static const double INITIAL_LONG_FRACTION = 0.6;
-/* A kind has enough engines while the prompts that wait are read within such a
- * part of its objective, so that a first event is in time behind a queue twice
- * the mean, and while so many of the slots are taken. */
+/* A kind of prompts has enough engines while its waiting prompts are read
+ * within this fraction of its objective, so that a first event is in time even
+ * behind a queue of twice the mean length, and while no more than this
+ * fraction of the slots is used. */
 static const double QUEUE_TARGET_FRACTION = 0.2;
 static const double SLOTS_USED_FRACTION = 0.7;
-/* Each kind keeps some engines, for a burst of it. */
+/* Each kind keeps some engines in case of a burst. */
 static const double LONG_FRACTION_MIN = 0.2;
 static const double LONG_FRACTION_MAX = 0.85;
-/* Pauses alone ask for no more than the rest has at the start. */
+/* To keep pauses short, a kind claims no more engines than short prompts have
+ * initially. */
 static const double PAUSES_FRACTION_MAX = 0.4;
-/* Need of a kind with nothing under way, in engines. */
+/* Need of a kind without requests in flight, in engines. */
 static const double NEEDED_ENGINES_MIN = 0.3;
-/* The part in force follows what is wanted with this time constant: bursts
- * last seconds, and each move costs shared parts that are fetched or read
+/* Time constant with which the applied fraction follows the wanted one: bursts
+ * last seconds, and after each move shared parts have to be fetched or read
  * again. */
 static const double SMOOTHING_US = 1000 * 1000;
-/* The border moves once it is off by more than this, in engines: one, less
- * what instances differ by. */
+/* The partition boundary moves once it is off by more than this: one engine,
+ * less the difference between instances. */
 static const double MOVE_THRESHOLD_ENGINES = 0.75;
-/* For the objective of a kind that has come with none. */
+/* Assumed for a kind whose requests had no objective so far. */
 static const gint64 DEFAULT_TARGET_MS = 500;
 
 double
@@ -32,10 +34,10 @@
     return s->updated_us == 0 ? INITIAL_LONG_FRACTION : s->applied;
 }
 
-/* Engines on which the prompts of a kind that arrive within the objective of
- * its pauses are read within it, so that no stream of it pauses too long. With
- * `mean` arrivals three standard deviations more are borne: the most that are
- * read in the time are mean + 3 * sqrt(mean). */
+/* Engines needed for no stream of a kind to pause too long: the prompts that
+ * arrive within the pause objective have to be read within it. Tolerates three
+ * standard deviations above the mean number of arrivals: the maximum that can
+ * be read in time is mean + 3 * sqrt(mean). */
 static double
 engines_for_pauses(const kind_load_t *load, const split_demand_t *d)
 {
@@ -50,7 +52,7 @@
     return MIN(needed, PAUSES_FRACTION_MAX * d->engines);
 }
 
-/* Engines that would serve a kind well. */
+/* Engines needed to serve a kind well. */
 static double
 engines_needed(const kind_load_t *load, const split_demand_t *d)
 {
@@ -66,8 +68,8 @@
     return MAX(needed, NEEDED_ENGINES_MIN);
 }
 
-/* The part for long prompts. The more urgent kind gets what it needs first;
- * what is left over is shared as the kinds need it. */
+/* The fraction for long prompts. The more urgent kind gets the engines that it
+ * needs first; any surplus is shared in proportion to the needs. */
 static double
 wanted_long_fraction(const split_demand_t *d)
 {
--- a/policy/prompt_mix.c
+++ b/policy/prompt_mix.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-/* A prompt of so many tokens holds an engine up for two chunks of its reading
- * or more, some 65 ms, a quarter of the shortest pause objective (250 ms). */
+/* A prompt of this size occupies an engine for at least two chunks of reading,
+ * about 65 ms, which is a quarter of the shortest pause objective (250 ms). */
 static const guint LONG_PROMPT_MIN_TOKENS = 4000;
-/* A service that got no long prompt for so long is not parted. */
+/* Without a long prompt for this long, a service is not partitioned. */
 static const gint64 LONG_PROMPT_EXPIRY_US = 60 * G_USEC_PER_SEC;
-/* Until then an instance can not know whether it gets any: at 13 requests a
- * second, one in seven of them long, it would have met one. Without the
- * parting, chats begun in the first second share their engines with long
- * prompts to their end and miss their deadline (48 of 2,120 on a heavy day of
- * 9 engines). */
+/* For this long after its first request, an instance can't know whether it
+ * will get long prompts: at 13 requests a second, one in seven of them long,
+ * one would have arrived by then. Without a partition, chats that begin in the
+ * first second share their engines with long prompts until they end, and miss
+ * their deadline (48 of 2,120 chats on 9 engines under heavy load). */
 static const gint64 LONG_PROMPT_DETECTION_US = 10 * G_USEC_PER_SEC;
 
 gboolean
@@ -20,11 +20,11 @@
     return prompt_tokens >= LONG_PROMPT_MIN_TOKENS;
 }
 
-/* What came counts for about so long. */
+/* Time constant of the decay of arrivals. */
 static const double ARRIVALS_DECAY_S = 1.5;
 
-/* Of the newest prompt in the mean: an instance among 300 gets one long prompt
- * a second. */
+/* Weight of the latest prompt in the mean. One of 300 instances gets one long
+ * prompt a second. */
 static const double MEAN_WEIGHT = 0.05;
 
 static double
