--- a/include/carobloom/policy/part_feed.h
+++ b/include/carobloom/policy/part_feed.h
@@ -1,32 +1,34 @@
-/* Which prompt parts endpoints were sent, as entry instances tell each other.
+/* Records which endpoints were sent which prompt parts, as entry instances
+ * report it to each other.
  *
- * Each part is asked for through another entry instance nearly every time, so
- * that none knows from its own requests which engines keep it. With the news
- * of all a part is fetched from an engine that has it, in a twentieth of the
- * time in which it is read again. A feed keeps the newest notes; one that is
- * lost costs a part that is read again. Pure. */
+ * Requests for the same part nearly always arrive at different entry
+ * instances, so no instance knows from its own requests alone which engines
+ * cache the part. With the reports of all instances the part is fetched from
+ * such an engine, in a twentieth of the time of reading it again. The feed
+ * keeps the latest records; a lost record costs one more reading of a
+ * part. Pure. */
 #ifndef CAROBLOOM_POLICY_PART_FEED_H
 #define CAROBLOOM_POLICY_PART_FEED_H
 
 #include <glib.h>
 
-enum { PART_FEED_MAX = 2048 }; /* notes that are kept */
+enum { PART_FEED_MAX = 2048 }; /* records kept */
 
-/* An endpoint was sent a prompt with this part, and did not have it before. */
+/* A part that an endpoint was sent and did not have before. */
 typedef struct {
     guint64 part;
-    guint64 endpoint; /* hash of it */
+    guint64 endpoint; /* hash of the endpoint */
 } part_copy_t;
 
 typedef struct part_feed part_feed_t;
 
 part_feed_t *part_feed_create(void);
 void part_feed_destroy(part_feed_t *feed);
-/* `notes` holds part_copy_t. */
+/* Appends records; `copies` holds part_copy_t. */
 void part_feed_add(part_feed_t *feed, const GArray *copies);
-/* The notes after the first `heard` ones, as far as they are kept, in a new
- * array; `heard` becomes how many were ever added. More than these is a word
- * of another feed, and counts as none. */
+/* Returns the records after the first `received` ones, as far as they are
+ * kept, in a new array, and sets `received` to the number ever added. A larger
+ * `received` comes from a different feed and counts as 0. */
 GArray *part_feed_since(const part_feed_t *feed, guint64 *received);
 
 #endif
--- a/policy/load_delta.c
+++ b/policy/load_delta.c
@@ -1,8 +1,8 @@
 #include "carobloom/policy/load_delta.h"
 
 struct load_delta {
-    GArray *acknowledged; /* loads as the other has them, or NULL */
-    GArray *pending;      /* as the message under way says, or NULL */
+    GArray *acknowledged; /* loads in the last acknowledged message, or NULL */
+    GArray *pending;      /* loads in the message in flight, or NULL */
     guint64 acknowledged_sequence;
     guint64 pending_sequence;
     gint64 sent_us;
--- a/policy/load_sum.c
+++ b/policy/load_sum.c
@@ -1,15 +1,16 @@
 #include "carobloom/policy/load_sum.h"
 
 enum {
-    /* Between two orderings of the sums, for each of them. */
+    /* Minimum time between two sorts of the sums, per endpoint. */
     BUSIEST_INTERVAL_US_PER_ENDPOINT = 20,
-    /* What a running request weighs beside prompt tokens that wait to be read:
-     * it holds one of the slots, and the steps of those beside it up. */
+    /* Weight of a running request, in prompt tokens that wait to be read: the
+     * request occupies a slot and slows the steps of the requests beside
+     * it. */
     RUNNING_REQUEST_TOKENS = 500,
 };
 
 typedef struct {
-    GArray *loads; /* of one that tells changes: in order of endpoints */
+    GArray *loads; /* sorted by endpoint if the instance sends changes */
     guint64 sequence;
     gint64 received_us;
 } report_t;
@@ -18,9 +19,9 @@
     GHashTable *reports; /* instance -> report_t */
     GHashTable *sums;    /* endpoint -> endpoint_load_t */
     gboolean changed;
-    GArray *busiest; /* the busiest as last ordered, or NULL */
+    GArray *busiest; /* result of the last sort, or NULL */
     gint64 busiest_us;
-    gboolean busiest_outdated; /* a report came since */
+    gboolean busiest_outdated; /* a report changed since */
 };
 
 static void
@@ -140,7 +141,8 @@
     return x < y ? -1 : x > y;
 }
 
-/* What changes of a report: its loads before and after, and all after. */
+/* Changes to a report: the changed loads before and after, and all loads
+ * after. */
 typedef struct {
     GArray *before;
     GArray *after;
--- a/policy/part_feed.c
+++ b/policy/part_feed.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/part_feed.h"
 
 struct part_feed {
-    part_copy_t copies[PART_FEED_MAX]; /* the one added as nth at n modulo */
+    part_copy_t copies[PART_FEED_MAX]; /* a ring; record n at n modulo size */
     guint64 added;
 };
 
--- a/policy/part_set.c
+++ b/policy/part_set.c
@@ -15,7 +15,8 @@
     return &s->buckets[part % s->count];
 }
 
-/* Parts that had a place each have one each among twice as many. */
+/* Parts in different buckets stay in different buckets when the number of
+ * buckets doubles. */
 static void
 set_grow(part_set_t *s)
 {
@@ -31,7 +32,7 @@
     *s = larger;
 }
 
-/* Whether the part's place is another's. */
+/* Whether the part's bucket is taken by another part. */
 static gboolean
 is_collision(const part_set_t *s, guint64 part)
 {
