--- a/tests/test_engine_split.c
+++ b/tests/test_engine_split.c
@@ -9,7 +9,7 @@
 
 /* Runs `demand` for ten seconds, told each 200 ms. */
 static double
-part_after(split_demand_t demand)
+fraction_after(split_demand_t demand)
 {
     engine_split_t split = {0};
     for (gint64 ms = 0; ms <= 10000; ms += 200) {
@@ -27,8 +27,8 @@
         const char *name;
         kind_load_t long_prompts;
         kind_load_t short_prompts;
-        double least;
-        double most;
+        double min_fraction;
+        double max_fraction;
     } SPLITS[] = {
         {"nothing runs", {0}, {0}, 0.49, 0.6},
         {"long ones wait, less urgent",
@@ -91,8 +91,9 @@
                                  .tokens_per_ms = 60,
                                  .long_prompts = SPLITS[i].long_prompts,
                                  .short_prompts = SPLITS[i].short_prompts};
-        double part = part_after(demand);
-        CU_ASSERT(part >= SPLITS[i].least && part <= SPLITS[i].most);
+        double fraction = fraction_after(demand);
+        CU_ASSERT(fraction >= SPLITS[i].min_fraction &&
+                  fraction <= SPLITS[i].max_fraction);
     }
 }
 
@@ -130,10 +131,10 @@
         engine_model_init(&model);
         for (guint n = 0; n < 400; n++) {
             double tokens = 500 + (n * 977) % 20000;
-            double first = ENGINE_KINDS[i].first_ms +
-                           tokens / ENGINE_KINDS[i].tokens_per_ms;
+            double first_ms = ENGINE_KINDS[i].first_ms +
+                              tokens / ENGINE_KINDS[i].tokens_per_ms;
             engine_model_record_first(&model, tokens,
-                                      n % 50 == 0 ? 10000 : first);
+                                      n % 50 == 0 ? 10000 : first_ms);
         }
         double expected =
             ENGINE_KINDS[i].first_ms + 10000 / ENGINE_KINDS[i].tokens_per_ms;
@@ -150,7 +151,7 @@
     static const struct {
         guint tokens[2]; /* of two requests */
         gint64 at_s[2];  /* when they come */
-        gint64 asked_s;
+        gint64 queried_s;
         gboolean partitioned;
     } CASES[] = {
         {{800, 800}, {1, 2}, 2, TRUE},     {{800, 800}, {1, 12}, 12, FALSE},
@@ -166,7 +167,7 @@
             &mix, (prompt_sample_t){.prompt_tokens = CASES[i].tokens[1]},
             CASES[i].at_s[1] * SECOND);
         CU_ASSERT_EQUAL(
-            prompt_mix_needs_partition(&mix, CASES[i].asked_s * SECOND),
+            prompt_mix_needs_partition(&mix, CASES[i].queried_s * SECOND),
             CASES[i].partitioned);
     }
 }
@@ -180,12 +181,12 @@
     split_demand_t demand = {0};
     gint64 now_us = SECOND;
     for (guint i = 0; i < 100; i++) {
-        prompt_sample_t note = {.prompt_tokens = i % 2 ? 600 : 1000,
-                                .target_ms = 300,
-                                .pause_ms = 250,
-                                .priority = i % 4};
+        prompt_sample_t sample = {.prompt_tokens = i % 2 ? 600 : 1000,
+                                  .target_ms = 300,
+                                  .pause_ms = 250,
+                                  .priority = i % 4};
         now_us += SECOND / 10;
-        prompt_mix_record(&mix, note, now_us);
+        prompt_mix_record(&mix, sample, now_us);
     }
     prompt_mix_fill_demand(&mix, 4, now_us, &demand);
     CU_ASSERT_DOUBLE_EQUAL(demand.short_prompts.arrivals_per_s, 40, 2);
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -100,8 +100,8 @@
 {
     GArray *parts = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
     for (guint64 i = first; i < first + count; i++) {
-        part_copy_t note = {.part = i, .endpoint = 77};
-        g_array_append_val(parts, note);
+        part_copy_t copy = {.part = i, .endpoint = 77};
+        g_array_append_val(parts, copy);
     }
     return parts;
 }
@@ -111,9 +111,9 @@
 {
     CU_ASSERT_EQUAL_FATAL(parts->len, count);
     for (guint i = 0; i < count; i++) {
-        const part_copy_t *note = &g_array_index(parts, part_copy_t, i);
-        CU_ASSERT_EQUAL(note->part, first + i);
-        CU_ASSERT_EQUAL(note->endpoint, 77);
+        const part_copy_t *copy = &g_array_index(parts, part_copy_t, i);
+        CU_ASSERT_EQUAL(copy->part, first + i);
+        CU_ASSERT_EQUAL(copy->endpoint, 77);
     }
 }
 
@@ -200,7 +200,7 @@
 {
     static const struct {
         guint added;
-        guint64 heard;
+        guint64 received;
         guint64 first; /* of what is told */
         guint count;
     } CASES[] = {
@@ -216,12 +216,12 @@
     };
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
         part_feed_t *feed = part_feed_create();
-        guint64 heard = CASES[i].heard;
+        guint64 received = CASES[i].received;
         add_parts(feed, 0, CASES[i].added);
-        GArray *told = part_feed_since(feed, &heard);
-        check_parts(told, CASES[i].first, CASES[i].count);
-        CU_ASSERT_EQUAL(heard, CASES[i].added);
-        g_array_unref(told);
+        GArray *reported = part_feed_since(feed, &received);
+        check_parts(reported, CASES[i].first, CASES[i].count);
+        CU_ASSERT_EQUAL(received, CASES[i].added);
+        g_array_unref(reported);
         part_feed_destroy(feed);
     }
 }
@@ -393,8 +393,8 @@
 typedef struct {
     guint entries;
     guint controls;
-    guint bound_ms;     /* of the oldest */
-    guint calls_second; /* at the busiest control instance, at most */
+    guint bound_ms;    /* of the oldest */
+    guint calls_per_s; /* at the busiest control instance, at most */
 } age_case_t;
 
 static const age_case_t AGE_CASES[] = {
@@ -413,12 +413,12 @@
 
 typedef struct {
     const age_case_t *c;
-    guint *home; /* the collector of each entry instance */
+    guint *collector; /* the collector of each entry instance */
     guint reporters[COLLECTORS];
     guint calls[COLLECTORS];
-    gint64 *due;   /* the next report of each entry instance */
-    gint64 *known; /* at its collector: when what is known of it was so */
-    gint64 *told;  /* the same at the other control instances */
+    gint64 *due;      /* the next report of each entry instance */
+    gint64 *known;    /* at its collector: when what is known of it was so */
+    gint64 *reported; /* the same at the other control instances */
     gint64 oldest_ms;
 } ages_t;
 
@@ -428,18 +428,18 @@
     collector_t all[COLLECTORS];
     GRand *random = g_rand_new_with_seed(3);
     *a = (ages_t){.c = c,
-                  .home = g_new0(guint, c->entries),
+                  .collector = g_new0(guint, c->entries),
                   .due = g_new0(gint64, c->entries),
                   .known = g_new0(gint64, c->entries),
-                  .told = g_new0(gint64, c->entries)};
+                  .reported = g_new0(gint64, c->entries)};
     collectors_fill(all, 0, ~0u << c->controls);
     for (guint n = 0; n < c->entries; n++) {
         gssize at = collector_pick(all, COLLECTORS, hash_of("entry", n));
-        a->home[n] = (guint)at;
+        a->collector[n] = (guint)at;
         a->reporters[at]++;
     }
     for (guint n = 0; n < c->entries; n++) {
-        gint interval = (gint)collector_ask_ms(a->reporters[a->home[n]]);
+        gint interval = (gint)collector_ask_ms(a->reporters[a->collector[n]]);
         a->due[n] = g_rand_int_range(random, 0, interval);
     }
     g_rand_free(random);
@@ -448,10 +448,10 @@
 static void
 ages_clear(ages_t *a)
 {
-    g_free(a->home);
+    g_free(a->collector);
     g_free(a->due);
     g_free(a->known);
-    g_free(a->told);
+    g_free(a->reported);
 }
 
 /* Instance `n` reports and is told; what it is told ages until the next time.
@@ -459,12 +459,12 @@
 static void
 ages_report(ages_t *a, guint n, gint64 now_ms)
 {
-    guint at = a->home[n];
+    guint at = a->collector[n];
     a->due[n] = now_ms + collector_ask_ms(a->reporters[at]);
     a->calls[at]++;
     a->known[n] = now_ms - TRIP_MS;
     for (guint o = 0; now_ms > PLAYED_MS / 2 && o < a->c->entries; o++) {
-        gint64 was_so = a->home[o] == at ? a->known[o] : a->told[o];
+        gint64 was_so = a->collector[o] == at ? a->known[o] : a->reported[o];
         a->oldest_ms = MAX(a->oldest_ms, a->due[n] + TRIP_MS - was_so);
     }
 }
@@ -493,66 +493,66 @@
                 }
             }
             if (now % SUMS_MS == 0) {
-                memcpy(a.told, a.known, sizeof(*a.known) * c->entries);
+                memcpy(a.reported, a.known, sizeof(*a.known) * c->entries);
             }
         }
         printf("%u instances: oldest %u ms, busiest %u calls/s; ", c->entries,
                (guint)a.oldest_ms, ages_busiest(&a));
         CU_ASSERT(a.oldest_ms <= c->bound_ms);
-        CU_ASSERT(ages_busiest(&a) <= c->calls_second);
+        CU_ASSERT(ages_busiest(&a) <= c->calls_per_s);
         ages_clear(&a);
     }
 }
 
 /* ---- changes of sums ---- */
 
-enum { PLACES = 200 }; /* endpoints of the plays below */
+enum { ENDPOINTS = 200 }; /* endpoints of the plays below */
 
 /* One control instance tells another over a way that loses messages. */
 typedef struct {
-    load_sum_t *own;  /* of who tells */
-    load_sum_t *seen; /* of who is told */
+    load_sum_t *sender;   /* of who tells */
+    load_sum_t *receiver; /* of who is told */
     load_delta_t *delta;
     guint64 sequence;
-    guint told; /* loads in all messages */
-} telling_t;
+    guint reported; /* loads in all messages */
+} exchange_t;
 
 static void
-telling_init(telling_t *t)
+exchange_init(exchange_t *t)
 {
-    *t = (telling_t){.own = load_sum_create(),
-                     .seen = load_sum_create(),
-                     .delta = load_delta_create()};
+    *t = (exchange_t){.sender = load_sum_create(),
+                      .receiver = load_sum_create(),
+                      .delta = load_delta_create()};
 }
 
 static void
-telling_clear(telling_t *t)
+exchange_clear(exchange_t *t)
 {
-    load_sum_destroy(t->own);
-    load_sum_destroy(t->seen);
+    load_sum_destroy(t->sender);
+    load_sum_destroy(t->receiver);
     load_delta_destroy(t->delta);
 }
 
 typedef enum {
-    WAY_GOOD,
-    WAY_LOST,      /* the message does not arrive */
-    WAY_UNCERTAIN, /* it does, and the answer is lost */
-    WAYS,
-} way_t;
+    DELIVERY_ACKNOWLEDGED,
+    DELIVERY_LOST,           /* the message does not arrive */
+    DELIVERY_UNACKNOWLEDGED, /* it does, and the answer is lost */
+    DELIVERIES,
+} delivery_t;
 
 /* Tells once; whether the other has taken it as it is now. */
 static gboolean
-tell_once(telling_t *t, way_t way)
+exchange_once(exchange_t *t, delivery_t delivery)
 {
-    GArray *loads = load_sum_sorted(t->own);
+    GArray *loads = load_sum_sorted(t->sender);
     GArray *changes = load_delta_changes(t->delta, loads);
     guint64 base = load_delta_base(t->delta);
     load_delta_sent(t->delta, loads, ++t->sequence, 0);
-    t->told += changes->len;
-    gboolean taken =
-        way != WAY_LOST && load_sum_apply_changes(t->seen, "a", changes,
-                                                  t->sequence, base, SECOND);
-    if (taken && way == WAY_GOOD) {
+    t->reported += changes->len;
+    gboolean applied = delivery != DELIVERY_LOST &&
+                       load_sum_apply_changes(t->receiver, "a", changes,
+                                              t->sequence, base, SECOND);
+    if (applied && delivery == DELIVERY_ACKNOWLEDGED) {
         load_delta_acknowledged(t->delta);
     }
     else {
@@ -560,22 +560,22 @@
     }
     g_array_unref(changes);
     g_array_unref(loads);
-    return taken;
+    return applied;
 }
 
 static void
-check_same(const telling_t *t)
+check_in_sync(const exchange_t *t)
 {
-    GArray *own = load_sum_sorted(t->own);
-    GArray *seen = load_sum_sorted(t->seen);
-    CU_ASSERT_EQUAL_FATAL(own->len, seen->len);
-    for (guint i = 0; i < own->len; i++) {
+    GArray *sender = load_sum_sorted(t->sender);
+    GArray *receiver = load_sum_sorted(t->receiver);
+    CU_ASSERT_EQUAL_FATAL(sender->len, receiver->len);
+    for (guint i = 0; i < sender->len; i++) {
         CU_ASSERT(
-            endpoint_load_equal(&g_array_index(own, endpoint_load_t, i),
-                                &g_array_index(seen, endpoint_load_t, i)));
+            endpoint_load_equal(&g_array_index(sender, endpoint_load_t, i),
+                                &g_array_index(receiver, endpoint_load_t, i)));
     }
-    g_array_unref(own);
-    g_array_unref(seen);
+    g_array_unref(sender);
+    g_array_unref(receiver);
 }
 
 /* An entry instance reports some requests at `busy` places drawn at random. */
@@ -587,7 +587,7 @@
     g_snprintf(name, sizeof(name), "e%d", g_rand_int_range(random, 0, 5));
     for (guint i = 0; i < busy; i++) {
         endpoint_load_t load = {
-            .endpoint = 1 + i * PLACES / busy + g_rand_int(random) % 2,
+            .endpoint = 1 + i * ENDPOINTS / busy + g_rand_int(random) % 2,
             .running = 1 + g_rand_int(random) % 3,
             .waiting_tokens = g_rand_int(random) % 2 * 6000};
         g_array_append_val(loads, load);
@@ -601,25 +601,27 @@
 test_changes(void)
 {
     GRand *random = g_rand_new_with_seed(31);
-    telling_t t;
-    telling_init(&t);
+    exchange_t t;
+    exchange_init(&t);
     for (guint i = 0; i < 2000; i++) {
-        report_some(t.own, random, (guint)g_rand_int_range(random, 1, 40));
+        report_some(t.sender, random, (guint)g_rand_int_range(random, 1, 40));
         if (i % 97 == 0) { /* who is told starts again */
-            load_sum_destroy(t.seen);
-            t.seen = load_sum_create();
+            load_sum_destroy(t.receiver);
+            t.receiver = load_sum_create();
         }
         if (i % 131 == 0) { /* who tells starts again */
             load_delta_destroy(t.delta);
             t.delta = load_delta_create();
         }
-        if (tell_once(&t, (way_t)g_rand_int_range(random, 0, WAYS))) {
-            check_same(&t);
+        if (exchange_once(
+                &t, (delivery_t)g_rand_int_range(random, 0, DELIVERIES))) {
+            check_in_sync(&t);
         }
     }
-    CU_ASSERT(tell_once(&t, WAY_GOOD) || tell_once(&t, WAY_GOOD));
-    check_same(&t);
-    telling_clear(&t);
+    CU_ASSERT(exchange_once(&t, DELIVERY_ACKNOWLEDGED) ||
+              exchange_once(&t, DELIVERY_ACKNOWLEDGED));
+    check_in_sync(&t);
+    exchange_clear(&t);
     g_rand_free(random);
 }
 
@@ -644,10 +646,10 @@
 
 /* Loads told in 20 messages while `busy` endpoints are and ten change. */
 static guint
-told_of(guint busy)
+loads_sent(guint busy)
 {
-    telling_t t;
-    telling_init(&t);
+    exchange_t t;
+    exchange_init(&t);
     for (guint i = 0; i < 20; i++) {
         GArray *loads = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
         for (guint n = 0; n < busy; n++) {
@@ -655,31 +657,31 @@
                                     .running = 1 + (n < 10 ? i : 0)};
             g_array_append_val(loads, load);
         }
-        load_sum_report(t.own, "e", loads, SECOND);
+        load_sum_report(t.sender, "e", loads, SECOND);
         g_array_unref(loads);
-        CU_ASSERT(tell_once(&t, WAY_GOOD));
-        check_same(&t);
+        CU_ASSERT(exchange_once(&t, DELIVERY_ACKNOWLEDGED));
+        check_in_sync(&t);
     }
-    guint told = t.told;
-    telling_clear(&t);
-    return told;
+    guint reported = t.reported;
+    exchange_clear(&t);
+    return reported;
 }
 
 static void
 test_changes_cost(void)
 {
-    CU_ASSERT_EQUAL(told_of(100), 100 + 19 * 10);
-    CU_ASSERT_EQUAL(told_of(1000), 1000 + 19 * 10);
+    CU_ASSERT_EQUAL(loads_sent(100), 100 + 19 * 10);
+    CU_ASSERT_EQUAL(loads_sent(1000), 1000 + 19 * 10);
 }
 
 /* Of more busy endpoints than are told, the busiest ones are; of fewer, all.
  */
 static void
-test_told(void)
+test_busiest(void)
 {
     static const struct {
         guint busy;
-        guint told;
+        guint reported;
     } COUNTS[] = {{0, 0},
                   {1, 1},
                   {BUSIEST_LOADS_MAX, BUSIEST_LOADS_MAX},
@@ -693,14 +695,14 @@
             g_array_append_val(loads, load);
         }
         load_sum_report(s, "a", loads, SECOND);
-        GArray *told = load_sum_busiest(s, SECOND);
-        CU_ASSERT_EQUAL(told->len, COUNTS[i].told);
-        for (guint n = 0; n < told->len; n++) {
+        GArray *reported = load_sum_busiest(s, SECOND);
+        CU_ASSERT_EQUAL(reported->len, COUNTS[i].reported);
+        for (guint n = 0; n < reported->len; n++) {
             const endpoint_load_t *l =
-                &g_array_index(told, endpoint_load_t, n);
-            CU_ASSERT(l->running > COUNTS[i].busy - COUNTS[i].told);
+                &g_array_index(reported, endpoint_load_t, n);
+            CU_ASSERT(l->running > COUNTS[i].busy - COUNTS[i].reported);
         }
-        g_array_unref(told);
+        g_array_unref(reported);
         g_array_unref(loads);
         load_sum_destroy(s);
     }
@@ -709,7 +711,7 @@
 /* A prompt that waits to be read makes an endpoint busier than a few streams
  * do; reports that come within the pause are told after it. */
 static void
-test_told_order(void)
+test_busiest_order(void)
 {
     load_sum_t *s = load_sum_create();
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
@@ -724,13 +726,14 @@
         .endpoint = 9999, .running = 1, .waiting_tokens = 7000};
     g_array_append_val(waits, load);
     load_sum_report(s, "b", waits, SECOND);
-    GArray *told = load_sum_busiest(s, SECOND + MS);
-    CU_ASSERT(g_array_index(told, endpoint_load_t, 0).endpoint != 9999);
-    g_array_unref(told);
-    told = load_sum_busiest(s, SECOND + 50 * MS);
-    CU_ASSERT_EQUAL(told->len, BUSIEST_LOADS_MAX);
-    CU_ASSERT_EQUAL(g_array_index(told, endpoint_load_t, 0).endpoint, 9999);
-    g_array_unref(told);
+    GArray *reported = load_sum_busiest(s, SECOND + MS);
+    CU_ASSERT(g_array_index(reported, endpoint_load_t, 0).endpoint != 9999);
+    g_array_unref(reported);
+    reported = load_sum_busiest(s, SECOND + 50 * MS);
+    CU_ASSERT_EQUAL(reported->len, BUSIEST_LOADS_MAX);
+    CU_ASSERT_EQUAL(g_array_index(reported, endpoint_load_t, 0).endpoint,
+                    9999);
+    g_array_unref(reported);
     g_array_unref(loads);
     g_array_unref(waits);
     load_sum_destroy(s);
@@ -748,8 +751,8 @@
     {"changes of sums, some of them lost", test_changes},
     {"a change of what is not known", test_changes_of_another_base},
     {"what changed is told, not what is so", test_changes_cost},
-    {"the busiest endpoints are told", test_told},
-    {"what counts as busy, and how often", test_told_order},
+    {"the busiest endpoints are told", test_busiest},
+    {"what counts as busy, and how often", test_busiest_order},
 };
 
 CHECK_MAIN("loads", CASES)
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -84,7 +84,7 @@
 
 /* Long and short prompts meet on no engine while neither side is loaded. */
 static void
-test_sides(void)
+test_partitions(void)
 {
     directory_t *d = engines_create();
     GHashTable *with_long = g_hash_table_new(NULL, NULL);
@@ -119,10 +119,10 @@
 test_affinity(void)
 {
     directory_t *d = engines_create();
-    directory_t *elsewhere = engines_create();
+    directory_t *other = engines_create();
     for (guint64 session = 1; session < 50; session++) {
         endpoint_t *e = place(d, 12000, session, 5000, TRUE, 3);
-        endpoint_t *same = place(elsewhere, 12000, session, 5000, TRUE, 11);
+        endpoint_t *same = place(other, 12000, session, 5000, TRUE, 11);
         CU_ASSERT_STRING_EQUAL(e->id, same->id);
     }
     endpoint_t *home = place(d, 12000, 7, 5000, TRUE, 3);
@@ -132,7 +132,7 @@
     home->draining = TRUE;
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     directory_destroy(d);
-    directory_destroy(elsewhere);
+    directory_destroy(other);
 }
 
 /* Failing endpoints are left, and still used when there is no other. */
@@ -164,15 +164,15 @@
 /* A burst of long prompts: so many are taken as an engine ends in time, the
  * others are not, and short prompts still find a place. */
 static void
-test_places(void)
+test_slots(void)
 {
     directory_t *d = engines_create();
-    guint taken = 0;
+    guint accepted = 0;
     for (guint32 draw = 0; draw < 500; draw++) {
         endpoint_t *e = place(d, 12000, 1 + draw % 40, 5000, TRUE, draw);
         if (e != NULL) {
             endpoint_join(e, 12000, 0);
-            taken++;
+            accepted++;
         }
     }
     GPtrArray *engines = (GPtrArray *)directory_service(d, "s");
@@ -180,8 +180,8 @@
         const endpoint_t *e = engines->pdata[i];
         CU_ASSERT(e->running <= 0.85 * e->slots + 1);
     }
-    CU_ASSERT(taken < 500);
-    CU_ASSERT(taken >= ENGINES * SLOTS / 4);
+    CU_ASSERT(accepted < 500);
+    CU_ASSERT(accepted >= ENGINES * SLOTS / 4);
     CU_ASSERT_PTR_NULL(place(d, 12000, 3, 5000, TRUE, 9));
     place_case_t refused = {.tokens = 12000,
                             .shared = 3,
@@ -213,14 +213,14 @@
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
     home->running = SLOTS;
-    placement_t away = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(away.endpoint, home);
-    CU_ASSERT_PTR_EQUAL(away.source, home);
-    CU_ASSERT_EQUAL(away.read_tokens, 7000);
+    placement_t placed = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(placed.endpoint, home);
+    CU_ASSERT_PTR_EQUAL(placed.source, home);
+    CU_ASSERT_EQUAL(placed.read_tokens, 7000);
     /* One that fails is not asked: the next keeper is, and no third. */
     home->failures = 0.5;
-    away = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(away.source, home);
+    placed = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(placed.source, home);
     c.shared = 0;
     c.shared_tokens = 0;
     CU_ASSERT_PTR_NULL(place_of(d, c).source);
@@ -230,33 +230,33 @@
 /* Long prompts that share no part have no home: every engine of their side
  * takes as many as a home does. */
 static void
-test_places_without_home(void)
+test_slots_without_home(void)
 {
     directory_t *d = engines_create();
-    guint taken = 0;
+    guint accepted = 0;
     for (guint32 n = 0; n < 1000; n++) {
         place_case_t c = {.tokens = 12000, .partitioned = TRUE, .draw = n};
         endpoint_t *e = place_of(d, c).endpoint;
         if (e != NULL) {
             endpoint_join(e, 12000, 0);
-            taken++;
+            accepted++;
         }
     }
-    CU_ASSERT(taken >= (guint)(0.6 * ENGINES * 0.85 * SLOTS));
+    CU_ASSERT(accepted >= (guint)(0.6 * ENGINES * 0.85 * SLOTS));
     directory_destroy(d);
 }
 
 /* A burst of prompts on engines whose slots would hold more than their memory:
  * the tokens bound them, so large prompts take more of the places. */
 static void
-test_places_by_memory(void)
+test_slots_by_memory(void)
 {
     enum { MEMORY = 560000, REQUESTS = 1000 };
     static const guint TOKENS[] = {6000, 12000, 24000, 50000};
     guint before = G_MAXUINT;
     for (gsize i = 0; i < G_N_ELEMENTS(TOKENS); i++) {
         directory_t *d = engines_create();
-        guint taken = 0;
+        guint accepted = 0;
         for (guint32 n = 0; n < REQUESTS; n++) {
             place_case_t c = {.tokens = TOKENS[i],
                               .shared = 1 + n % 40,
@@ -268,12 +268,12 @@
             if (e != NULL) {
                 CU_ASSERT(e->prompt_tokens <= 0.6 * MEMORY);
                 endpoint_join(e, TOKENS[i], 0);
-                taken++;
+                accepted++;
             }
         }
-        CU_ASSERT(taken <= before);
-        CU_ASSERT(taken >= 3 * ENGINES / 2);
-        before = taken;
+        CU_ASSERT(accepted <= before);
+        CU_ASSERT(accepted >= 3 * ENGINES / 2);
+        before = accepted;
         directory_destroy(d);
     }
 }
@@ -287,9 +287,9 @@
     enum { MEMORY = 560000, OWN = 50000, FULL_OTHERS = 300000 };
     static const struct {
         const char *name;
-        guint32 others; /* tokens of the other instances */
-        guint sharers;  /* while loads are not known; 0: they are */
-        gboolean stays;
+        guint32 others;   /* tokens of the other instances */
+        guint load_scale; /* while loads are not known; 0: they are */
+        gboolean stays_home;
     } MEMORIES[] = {
         {"this one alone", 0, 0, TRUE},
         {"all together too much", FULL_OTHERS, 0, FALSE},
@@ -303,15 +303,15 @@
                           .shared_tokens = 5000,
                           .partitioned = TRUE,
                           .memory_tokens = MEMORY,
-                          .load_scale = MEMORIES[i].sharers};
+                          .load_scale = MEMORIES[i].load_scale};
         endpoint_t *home = place_of(d, c).endpoint;
         endpoint_join(home, OWN, 0);
         home->others.prompt_tokens = MEMORIES[i].others;
-        gboolean stays = place_of(d, c).endpoint == home;
-        if (stays != MEMORIES[i].stays) {
-            printf("%s: stays %d\n", MEMORIES[i].name, stays);
+        gboolean stays_home = place_of(d, c).endpoint == home;
+        if (stays_home != MEMORIES[i].stays_home) {
+            printf("%s: stays %d\n", MEMORIES[i].name, stays_home);
         }
-        CU_ASSERT_EQUAL(stays, MEMORIES[i].stays);
+        CU_ASSERT_EQUAL(stays_home, MEMORIES[i].stays_home);
         directory_destroy(d);
     }
 }
@@ -323,7 +323,7 @@
 {
     static const struct {
         guint32 waiting; /* tokens of the other instances' prompts */
-        gboolean stays;
+        gboolean stays_home;
     } QUEUES[] = {{0, TRUE}, {40000, TRUE}, {80000, FALSE}};
     for (gsize i = 0; i < G_N_ELEMENTS(QUEUES); i++) {
         directory_t *d = engines_create();
@@ -343,7 +343,7 @@
         g_array_append_val(sums, sum);
         directory_take_loads(d, sums, own);
         CU_ASSERT_EQUAL(home->others.prompt_tokens, 60000);
-        CU_ASSERT_EQUAL(place_of(d, c).endpoint == home, QUEUES[i].stays);
+        CU_ASSERT_EQUAL(place_of(d, c).endpoint == home, QUEUES[i].stays_home);
         g_array_unref(sums);
         g_array_unref(own);
         directory_destroy(d);
@@ -353,14 +353,14 @@
 /* A burst while no control instance passes loads on: eight instances that
  * know their own requests only still take no more than the engines can end. */
 static void
-test_places_without_loads(void)
+test_slots_without_loads(void)
 {
     enum { INSTANCES = 8, REQUESTS = 800 };
-    directory_t *seen[INSTANCES];
-    guint taken[ENGINES] = {0};
+    directory_t *directories[INSTANCES];
+    guint accepted[ENGINES] = {0};
     guint sum = 0;
     for (guint i = 0; i < INSTANCES; i++) {
-        seen[i] = engines_create();
+        directories[i] = engines_create();
     }
     for (guint32 n = 0; n < REQUESTS; n++) {
         place_case_t c = {.tokens = 12000,
@@ -369,25 +369,26 @@
                           .partitioned = TRUE,
                           .draw = n,
                           .load_scale = INSTANCES};
-        endpoint_t *e = place_of(seen[n % INSTANCES], c).endpoint;
+        endpoint_t *e = place_of(directories[n % INSTANCES], c).endpoint;
         if (e != NULL) {
             endpoint_join(e, 12000, 0);
-            taken[atoi(e->id + strlen("engine-"))]++;
+            accepted[atoi(e->id + strlen("engine-"))]++;
             sum++;
         }
         /* A short prompt is not refused by the coarse count. */
         c.tokens = 800;
         c.shared = 0;
         c.shared_tokens = 0;
-        CU_ASSERT_PTR_NOT_NULL(place_of(seen[n % INSTANCES], c).endpoint);
+        CU_ASSERT_PTR_NOT_NULL(
+            place_of(directories[n % INSTANCES], c).endpoint);
     }
     for (guint i = 0; i < ENGINES; i++) {
         /* Each instance rounds up by one. */
-        CU_ASSERT(taken[i] <= 0.85 * SLOTS + INSTANCES);
+        CU_ASSERT(accepted[i] <= 0.85 * SLOTS + INSTANCES);
     }
     CU_ASSERT(sum >= ENGINES * SLOTS / 4);
     for (guint i = 0; i < INSTANCES; i++) {
-        directory_destroy(seen[i]);
+        directory_destroy(directories[i]);
     }
 }
 
@@ -458,9 +459,9 @@
     const GPtrArray *engines = directory_service(d, "s");
     for (guint i = 0; i < engines->len; i++) {
         endpoint_t *e = engines->pdata[i];
-        gboolean on_side = i < (guint)(0.6 * ENGINES + 0.5);
-        e->running = on_side ? SLOTS : 1;
-        e->long_running = on_side ? SLOTS : 0;
+        gboolean in_partition = i < (guint)(0.6 * ENGINES + 0.5);
+        e->running = in_partition ? SLOTS : 1;
+        e->long_running = in_partition ? SLOTS : 0;
     }
     CU_ASSERT_PTR_NULL(place_of(d, c).endpoint);
     directory_destroy(d);
@@ -469,12 +470,13 @@
 /* A home that is full leaves to the next keeper what that reads within the
  * objective, and to no engine beyond. */
 static void
-test_next_keeper(void)
+test_fallback_home(void)
 {
     static const struct {
         gint64 target_ms;
-        guint least; /* requests that run at the next keeper in the end */
-        guint most;
+        guint
+            min_running; /* requests that run at the next keeper in the end */
+        guint max_running;
     } OBJECTIVES[] = {{500, 4, 5}, {2000, 14, 15}, {8000, 27, 28}};
     for (gsize i = 0; i < G_N_ELEMENTS(OBJECTIVES); i++) {
         directory_t *d = engines_create();
@@ -487,14 +489,14 @@
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
         home->long_running = SLOTS;
-        endpoint_t *next = place_of(d, c).endpoint;
-        endpoint_t *e = next;
-        while (e == next) {
+        endpoint_t *fallback = place_of(d, c).endpoint;
+        endpoint_t *e = fallback;
+        while (e == fallback) {
             endpoint_join(e, 12000, 0);
             e = place_of(d, c).endpoint;
         }
-        CU_ASSERT(next->running >= OBJECTIVES[i].least);
-        CU_ASSERT(next->running <= OBJECTIVES[i].most);
+        CU_ASSERT(fallback->running >= OBJECTIVES[i].min_running);
+        CU_ASSERT(fallback->running <= OBJECTIVES[i].max_running);
         directory_destroy(d);
     }
 }
@@ -529,7 +531,7 @@
 /* A large prompt finds with the next keeper what typical ones find; reckoned
  * with its own reading it would find it full at two requests. */
 static void
-test_large_at_next_keeper(void)
+test_large_at_fallback_home(void)
 {
     enum { LARGE = 60000, TYPICAL = 12000, RUNNING = 8 };
     for (int known = 0; known < 2; known++) {
@@ -543,11 +545,11 @@
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
         home->long_running = SLOTS;
-        endpoint_t *next = place_of(d, c).endpoint;
-        next->running = RUNNING;
-        next->long_running = RUNNING;
+        endpoint_t *fallback = place_of(d, c).endpoint;
+        fallback->running = RUNNING;
+        fallback->long_running = RUNNING;
         endpoint_t *e = place_of(d, c).endpoint;
-        CU_ASSERT_EQUAL(e == next, known);
+        CU_ASSERT_EQUAL(e == fallback, known);
         directory_destroy(d);
     }
 }
@@ -555,7 +557,7 @@
 /* The home of a part drains: the next home fetches the part from it while it
  * lends its memory, and from others once it does not. */
 static void
-test_fetch_from_leaving(void)
+test_fetch_from_draining(void)
 {
     enum { LEAVES_MS = 2200 };
     directory_t *d = engines_create();
@@ -569,10 +571,10 @@
     lease.reclaimable = TRUE;
     lease.leaves_ms = LEAVES_MS;
     directory_update(d, 0, &lease, SECOND);
-    placement_t next = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(next.endpoint, home);
-    CU_ASSERT_PTR_EQUAL(next.source, home);
-    CU_ASSERT_EQUAL(next.read_tokens, 4000);
+    placement_t fallback = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(fallback.endpoint, home);
+    CU_ASSERT_PTR_EQUAL(fallback.source, home);
+    CU_ASSERT_EQUAL(fallback.read_tokens, 4000);
     CU_ASSERT(endpoint_lends(home, SECOND + SECOND));
     CU_ASSERT_FALSE(endpoint_lends(home, SECOND + LEAVES_MS * 1000));
     home->lends_until_us = 0;
@@ -583,7 +585,7 @@
 /* An engine that others sent the part to is asked for it, also where the ranks
  * say another; one that fails is not. */
 static void
-test_fetch_from_holder(void)
+test_fetch_from_source(void)
 {
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 9000,
@@ -594,17 +596,17 @@
                       .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     const GPtrArray *list = directory_service(d, "s");
-    endpoint_t *holder = list->pdata[list->len - 1];
-    CU_ASSERT_PTR_NOT_EQUAL(holder, home);
-    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
-    part_copy_t note = {.part = 7, .endpoint = holder->hash};
-    g_array_append_val(notes, note);
-    directory_take_parts(d, notes);
-    CU_ASSERT(endpoint_has_part(holder, 7));
-    CU_ASSERT_PTR_EQUAL(place_of(d, c).source, holder);
-    holder->failures = 0.5;
-    CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, holder);
-    g_array_unref(notes);
+    endpoint_t *source = list->pdata[list->len - 1];
+    CU_ASSERT_PTR_NOT_EQUAL(source, home);
+    GArray *copies = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
+    part_copy_t copy = {.part = 7, .endpoint = source->hash};
+    g_array_append_val(copies, copy);
+    directory_take_parts(d, copies);
+    CU_ASSERT(endpoint_has_part(source, 7));
+    CU_ASSERT_PTR_EQUAL(place_of(d, c).source, source);
+    source->failures = 0.5;
+    CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, source);
+    g_array_unref(copies);
     directory_destroy(d);
 }
 
@@ -674,7 +676,7 @@
 /* Short prompts that share a part go to its keepers, whatever is drawn, while
  * these are no more loaded than others; a crowded one is left. */
 static void
-test_short_at_keepers(void)
+test_short_at_homes(void)
 {
     directory_t *d = engines_create();
     GHashTable *used = g_hash_table_new(NULL, NULL);
@@ -763,25 +765,25 @@
 }
 
 static const test_case_t CASES[] = {
-    {"short prompts at the keepers of their part", test_short_at_keepers},
-    {"a large prompt at the next keeper", test_large_at_next_keeper},
+    {"short prompts at the keepers of their part", test_short_at_homes},
+    {"a large prompt at the next keeper", test_large_at_fallback_home},
     {"pauses guarded from long prompts", test_pauses_guarded},
-    {"what a full home leaves to the next keeper", test_next_keeper},
+    {"what a full home leaves to the next keeper", test_fallback_home},
     {"a home on the other side of the border", test_former_home},
-    {"long prompts and short ones are kept apart", test_sides},
+    {"long prompts and short ones are kept apart", test_partitions},
     {"sessions stay where their prompts are", test_affinity},
     {"failing endpoints are left", test_failing},
-    {"long prompts take so many places", test_places},
+    {"long prompts take so many places", test_slots},
     {"prompts fetched from another engine", test_fetching},
-    {"parts fetched from whom the others sent them", test_fetch_from_holder},
+    {"parts fetched from whom the others sent them", test_fetch_from_source},
     {"connections are used again", test_connections_used},
     {"the part before one that is new", test_fetch_prefix},
-    {"parts fetched from an engine that leaves", test_fetch_from_leaving},
-    {"places of prompts without a home", test_places_without_home},
-    {"places by an engine's memory", test_places_by_memory},
+    {"parts fetched from an engine that leaves", test_fetch_from_draining},
+    {"places of prompts without a home", test_slots_without_home},
+    {"places by an engine's memory", test_slots_by_memory},
     {"an engine's memory is that of all instances", test_memory_of_all},
     {"a queue at a prompt's home", test_queue_at_home},
-    {"places without word of the others", test_places_without_loads},
+    {"places without word of the others", test_slots_without_loads},
     {"loads of the other instances", test_loads_of_others},
     {"an endpoint that refuses all", test_refusing},
     {"a home that named a limit", test_limited_home},
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -13,12 +13,12 @@
 #include "leases.h"
 
 enum {
-    ENGINES_MOST = 700,
-    INSTANCES_MOST = 300,
+    ENGINES_MAX = 700,
+    INSTANCES_MAX = 300,
     INSTANCES = 4, /* unless a load says otherwise */
     TICK_MS = 2,
-    TELL_MS = 200, /* how often each instance reports and is told loads */
-    PARTS = 100,   /* shared by the prompts of a kind */
+    REPORT_MS = 200, /* how often each instance reports and is told loads */
+    PARTS = 100,     /* shared by the prompts of a kind */
 };
 
 typedef enum { KIND_LONG, KIND_CHAT, KIND_TAG, KINDS } kind_t;
@@ -35,33 +35,40 @@
 /* Requests a second, until a time of the play. */
 typedef struct {
     double until_s;
-    double a_second[KINDS];
+    double arrivals_per_s[KINDS];
 } phase_t;
 
 /* What instances are told of the loads of others. */
-typedef enum { TOLD_BUSIEST, TOLD_ALL, TOLD_NONE, TOLD_WAYS } told_t;
+typedef enum {
+    REPORTED_BUSIEST,
+    REPORTED_ALL,
+    REPORTED_NONE,
+    REPORTED_MODES
+} reported_t;
 
 typedef struct {
     const engine_kind_t *kind;
-    const request_kind_t *requests; /* by kind; NULL: REQUESTS */
+    const request_kind_t *prompts; /* by kind; NULL: REQUESTS */
     guint engines;
     phase_t phases[4];
     guint phase_count;
-    double fixed_part;   /* of the engines, for long prompts; 0: it follows */
-    guint instances;     /* 0: INSTANCES */
-    guint parts;         /* 0: PARTS */
-    guint tell_ms;       /* 0: TELL_MS */
-    gboolean parts_told; /* instances tell each other what they sent where */
-    told_t told;
+    double
+        fixed_fraction; /* of the engines, for long prompts; 0: it follows */
+    guint instances;    /* 0: INSTANCES */
+    guint parts;        /* 0: PARTS */
+    guint report_ms;    /* 0: TELL_MS */
+    gboolean
+        parts_reported; /* instances tell each other what they sent where */
+    reported_t reported;
     guint limited; /* so many engines name a limit */
     double limit;  /* requests a second */
-    gboolean heeded;
+    gboolean limits_known;
 } load_t;
 
 /* What one kind of caller got. */
 typedef struct {
-    guint asked;
-    guint in_aim;
+    guint requests;
+    guint on_time;
     guint refused;
 } served_t;
 
@@ -90,42 +97,43 @@
     guint instance;
     guint waiting;
     guint found_waiting;
-    gboolean heard; /* its first event was seen */
+    gboolean received; /* its first event was seen */
     endpoint_t *endpoint;
-} play_request_t;
+} simulated_request_t;
 
 typedef struct {
     const load_t *load;
     guint instances;
-    batch_engine_t *engines[ENGINES_MOST];
-    directory_t *seen[INSTANCES_MOST];
-    prompt_mix_t mix[INSTANCES_MOST];
-    engine_split_t split[INSTANCES_MOST];
-    engine_model_t model[INSTANCES_MOST];
-    load_sum_t *loads;            /* as the instances reported them */
-    part_feed_t *feed;            /* the same of parts */
-    GArray *sent[INSTANCES_MOST]; /* part_copy_t, to be reported */
-    guint64 heard[INSTANCES_MOST];
+    batch_engine_t *engines[ENGINES_MAX];
+    directory_t *directories[INSTANCES_MAX];
+    prompt_mix_t mix[INSTANCES_MAX];
+    engine_split_t split[INSTANCES_MAX];
+    engine_model_t model[INSTANCES_MAX];
+    load_sum_t *loads;           /* as the instances reported them */
+    part_feed_t *feed;           /* the same of parts */
+    GArray *sent[INSTANCES_MAX]; /* part_copy_t, to be reported */
+    guint64 received[INSTANCES_MAX];
     limit_quota_t *quota;
     guint64 asks;
-    GArray *limited_ms[ENGINES_MOST]; /* double: sends to those, or NULL */
-    GHashTable *read;   /* shared parts that some engine has read */
-    guint64 shared;     /* tokens of shared parts, asked for */
-    guint64 read_again; /* of these, though some engine had read them */
-    guint64 most;       /* requests under way at the busiest engine, summed */
-    guint64 sum;    /* and at all, over the moments at which loads are told */
+    GArray *limited_ms[ENGINES_MAX]; /* double: sends to those, or NULL */
+    GHashTable *read;      /* shared parts that some engine has read */
+    guint64 shared;        /* tokens of shared parts, asked for */
+    guint64 reread_tokens; /* of these, though some engine had read them */
+    guint64 busiest_sum; /* requests under way at the busiest engine, summed */
+    guint64 in_flight_sum; /* and at all, over the moments at which loads are
+                              told */
     GArray *errors; /* double, ms: expected first events less real ones */
-    GPtrArray *under_way; /* play_request_t * */
+    GPtrArray *in_flight; /* play_request_t * */
     served_t served[KINDS];
     GRand *random;
-} play_t;
+} simulation_t;
 
 static void
-play_init(play_t *p, const load_t *load, guint32 seed)
+simulation_init(simulation_t *p, const load_t *load, guint32 seed)
 {
-    *p = (play_t){.load = load,
-                  .instances =
-                      load->instances > 0 ? load->instances : INSTANCES};
+    *p = (simulation_t){.load = load,
+                        .instances =
+                            load->instances > 0 ? load->instances : INSTANCES};
     p->loads = load_sum_create();
     p->feed = part_feed_create();
     p->quota = limit_quota_create();
@@ -134,13 +142,13 @@
     }
     p->read = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
     p->errors = g_array_new(FALSE, FALSE, sizeof(double));
-    p->under_way = g_ptr_array_new_with_free_func(g_free);
+    p->in_flight = g_ptr_array_new_with_free_func(g_free);
     p->random = g_rand_new_with_seed(seed);
     for (guint i = 0; i < load->engines; i++) {
         p->engines[i] = batch_engine_create(load->kind);
     }
     for (guint n = 0; n < p->instances; n++) {
-        p->seen[n] = directory_create(drop_nothing);
+        p->directories[n] = directory_create(drop_nothing);
         p->sent[n] = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
         engine_model_init(&p->model[n]);
         for (guint i = 0; i < load->engines; i++) {
@@ -153,13 +161,13 @@
                                       .sequence = 1,
                                       .slots = load->kind->slots,
                                       .state = LEASE_READY};
-            directory_update(p->seen[n], 0, &lease, 0);
+            directory_update(p->directories[n], 0, &lease, 0);
         }
     }
 }
 
 static void
-play_clear(play_t *p)
+simulation_clear(simulation_t *p)
 {
     load_sum_destroy(p->loads);
     part_feed_destroy(p->feed);
@@ -169,22 +177,22 @@
     }
     g_hash_table_unref(p->read);
     g_array_unref(p->errors);
-    g_ptr_array_unref(p->under_way);
+    g_ptr_array_unref(p->in_flight);
     g_rand_free(p->random);
     for (guint i = 0; i < p->load->engines; i++) {
         batch_engine_destroy(p->engines[i]);
     }
     for (guint n = 0; n < p->instances; n++) {
-        directory_destroy(p->seen[n]);
+        directory_destroy(p->directories[n]);
         g_array_unref(p->sent[n]);
     }
 }
 
 static const request_kind_t *
-kind_of(const play_t *p, kind_t kind)
+kind_of(const simulation_t *p, kind_t kind)
 {
-    return p->load->requests != NULL ? &p->load->requests[kind]
-                                     : &REQUESTS[kind];
+    return p->load->prompts != NULL ? &p->load->prompts[kind]
+                                    : &REQUESTS[kind];
 }
 
 static guint
@@ -194,15 +202,16 @@
 }
 
 static double
-long_fraction(const play_t *p, guint instance)
+long_fraction(const simulation_t *p, guint instance)
 {
-    return p->load->fixed_part > 0
-               ? p->load->fixed_part
+    return p->load->fixed_fraction > 0
+               ? p->load->fixed_fraction
                : engine_split_long_fraction(&p->split[instance]);
 }
 
 static placement_t
-play_place(play_t *p, guint n, kind_t kind, guint64 part, double now_ms)
+simulation_place(simulation_t *p, guint n, kind_t kind, guint64 part,
+                 double now_ms)
 {
     const request_kind_t *k = kind_of(p, kind);
     prompt_part_t parts[] = {
@@ -210,11 +219,11 @@
         {g_rand_int(p->random) | G_GUINT64_CONSTANT(1) << 40,
          k->prompt_tokens - k->shared_tokens}};
     gint64 now_us = (gint64)(now_ms * 1000);
-    prompt_sample_t note = {.prompt_tokens = k->prompt_tokens,
-                            .target_ms = k->target_ms,
-                            .pause_ms = k->pause_ms,
-                            .priority = k->priority};
-    prompt_mix_record(&p->mix[n], note, now_us);
+    prompt_sample_t sample = {.prompt_tokens = k->prompt_tokens,
+                              .target_ms = k->target_ms,
+                              .pause_ms = k->pause_ms,
+                              .priority = k->priority};
+    prompt_mix_record(&p->mix[n], sample, now_us);
     placement_request_t request = {
         .parts = parts,
         .part_count = part != 0 ? 2 : 0,
@@ -229,39 +238,39 @@
         .limits_now_us = now_us + 1,
         .draw = g_rand_int(p->random),
     };
-    return placement_pick(directory_service(p->seen[n], "s"), &request,
+    return placement_pick(directory_service(p->directories[n], "s"), &request,
                           now_us);
 }
 
 /* Counts what of shared parts is read again. */
 static void
-note_shared(play_t *p, const batch_engine_t *engine, guint64 part,
-            guint tokens)
+count_shared(simulation_t *p, const batch_engine_t *engine, guint64 part,
+             guint tokens)
 {
     p->shared += tokens;
     if (part == 0 || batch_engine_keeps(engine, part)) {
         return;
     }
     if (!g_hash_table_add(p->read, g_memdup2(&part, sizeof(part)))) {
-        p->read_again += tokens;
+        p->reread_tokens += tokens;
     }
 }
 
 /* What the instance knows of its own request, and reports. */
 static void
-note_sent(play_t *p, guint n, endpoint_t *e, guint64 part)
+record_sent(simulation_t *p, guint n, endpoint_t *e, guint64 part)
 {
-    part_copy_t note = {.part = part, .endpoint = e->hash};
+    part_copy_t copy = {.part = part, .endpoint = e->hash};
     if (part != 0 && !endpoint_has_part(e, part)) {
-        g_array_append_val(p->sent[n], note);
-        directory_note_part(p->seen[n], e, part);
+        g_array_append_val(p->sent[n], copy);
+        directory_note_part(p->directories[n], e, part);
     }
 }
 
 /* What the owner of the limits is to be asked for, and what goes to engines
  * that named one. */
 static void
-note_limits(play_t *p, const placement_t *placed, double now_ms)
+record_limits(simulation_t *p, const placement_t *placed, double now_ms)
 {
     gint64 now_us = (gint64)(now_ms * 1000) + 1;
     if (placed->denied != NULL) {
@@ -279,12 +288,12 @@
 
 /* An instance asks the owner of the limits, and is answered at once. */
 static void
-ask_limits(play_t *p, guint n, double now_ms)
+ask_limits(simulation_t *p, guint n, double now_ms)
 {
     char name[8];
     gint64 now_us = (gint64)(now_ms * 1000) + 1;
     g_snprintf(name, sizeof(name), "%u", n);
-    const GPtrArray *limits = directory_limits(p->seen[n]);
+    const GPtrArray *limits = directory_limits(p->directories[n]);
     for (guint i = 0; i < limits->len; i++) {
         endpoint_t *e = limits->pdata[i];
         limit_ask_t ask = {.endpoint = e->hash};
@@ -298,14 +307,14 @@
 
 /* All instances were told of the limits. */
 static void
-name_limits(play_t *p)
+name_limits(simulation_t *p)
 {
-    for (guint n = 0; p->load->heeded && n < p->instances; n++) {
-        const GPtrArray *all = directory_service(p->seen[n], "s");
+    for (guint n = 0; p->load->limits_known && n < p->instances; n++) {
+        const GPtrArray *all = directory_service(p->directories[n], "s");
         for (guint i = 0; i < all->len; i++) {
             endpoint_t *e = all->pdata[i];
             if (engine_of(e) < p->load->limited) {
-                endpoint_limit_named(directory_limit(p->seen[n], e),
+                endpoint_limit_named(directory_limit(p->directories[n], e),
                                      p->load->limit, 1, 1);
             }
         }
@@ -313,7 +322,7 @@
 }
 
 static void
-play_request(play_t *p, kind_t kind, double now_ms)
+simulation_send(simulation_t *p, kind_t kind, double now_ms)
 {
     const request_kind_t *k = kind_of(p, kind);
     guint n = (guint)g_rand_int_range(p->random, 0, (gint)p->instances);
@@ -322,16 +331,16 @@
                        ? ((guint64)kind << 32) + 1 +
                              (guint64)g_rand_int_range(p->random, 0, parts)
                        : 0;
-    placement_t placed = play_place(p, n, kind, part, now_ms);
-    p->served[kind].asked++;
-    note_limits(p, &placed, now_ms);
+    placement_t placed = simulation_place(p, n, kind, part, now_ms);
+    p->served[kind].requests++;
+    record_limits(p, &placed, now_ms);
     if (placed.endpoint == NULL) {
         p->served[kind].refused++;
         return;
     }
     endpoint_t *e = placed.endpoint;
-    play_request_t *r = g_new0(play_request_t, 1);
-    *r = (play_request_t){
+    simulated_request_t *r = g_new0(simulated_request_t, 1);
+    *r = (simulated_request_t){
         .job = {.priority = k->priority,
                 .part = part,
                 .part_tokens = k->shared_tokens,
@@ -349,74 +358,75 @@
         batch_engine_keeps(p->engines[engine_of(placed.source)], part)) {
         batch_engine_keep(engine, part);
     }
-    note_shared(p, engine, part, k->shared_tokens);
-    note_sent(p, n, e, part);
-    directory_join(p->seen[n], e, k->prompt_tokens, r->waiting);
+    count_shared(p, engine, part, k->shared_tokens);
+    record_sent(p, n, e, part);
+    directory_join(p->directories[n], e, k->prompt_tokens, r->waiting);
     batch_engine_add(engine, &r->job);
-    g_ptr_array_add(p->under_way, r);
+    g_ptr_array_add(p->in_flight, r);
 }
 
 static void
-hear_first(play_t *p, play_request_t *r)
+record_first(simulation_t *p, simulated_request_t *r)
 {
     engine_model_t *model = &p->model[r->instance];
     double tokens = (double)r->found_waiting + r->waiting;
     double ms = r->job.first_ms - r->job.sent_ms;
     double error = fabs(engine_model_first_ms(model, tokens) - ms);
     g_array_append_val(p->errors, error);
-    r->heard = TRUE;
+    r->received = TRUE;
     endpoint_end_wait(r->endpoint, kind_of(p, r->kind)->prompt_tokens,
                       r->waiting);
     engine_model_record_first(model, tokens, ms);
 }
 
 static void
-hear_end(play_t *p, const play_request_t *r)
+record_end(simulation_t *p, const simulated_request_t *r)
 {
     const request_kind_t *k = kind_of(p, r->kind);
     const engine_job_t *job = &r->job;
-    directory_leave(p->seen[r->instance], r->endpoint, k->prompt_tokens);
+    directory_leave(p->directories[r->instance], r->endpoint,
+                    k->prompt_tokens);
     if (job->first_ms - job->sent_ms <= (double)k->target_ms &&
         job->longest_ms <= (double)k->pause_ms) {
-        p->served[r->kind].in_aim++;
+        p->served[r->kind].on_time++;
     }
 }
 
 static void
-hear_engines(play_t *p)
+record_progress(simulation_t *p)
 {
-    for (guint i = p->under_way->len; i > 0; i--) {
-        play_request_t *r = p->under_way->pdata[i - 1];
-        if (r->job.made > 0 && !r->heard) {
-            hear_first(p, r);
+    for (guint i = p->in_flight->len; i > 0; i--) {
+        simulated_request_t *r = p->in_flight->pdata[i - 1];
+        if (r->job.made > 0 && !r->received) {
+            record_first(p, r);
         }
         if (r->job.done) {
-            hear_end(p, r);
-            g_ptr_array_remove_index_fast(p->under_way, i - 1);
+            record_end(p, r);
+            g_ptr_array_remove_index_fast(p->in_flight, i - 1);
         }
     }
 }
 
 static void
-tell_parts(play_t *p, guint n)
+report_parts(simulation_t *p, guint n)
 {
     part_feed_add(p->feed, p->sent[n]);
     g_array_set_size(p->sent[n], 0);
-    GArray *notes = part_feed_since(p->feed, &p->heard[n]);
-    directory_take_parts(p->seen[n], notes);
-    g_array_unref(notes);
+    GArray *copies = part_feed_since(p->feed, &p->received[n]);
+    directory_take_parts(p->directories[n], copies);
+    g_array_unref(copies);
 }
 
 static GArray *
-loads_told(play_t *p, gint64 now_us)
+reported_loads(simulation_t *p, gint64 now_us)
 {
-    switch (p->load->told) {
-    case TOLD_ALL:
+    switch (p->load->reported) {
+    case REPORTED_ALL:
         return load_sum_all(p->loads);
-    case TOLD_NONE:
+    case REPORTED_NONE:
         return g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
-    case TOLD_BUSIEST:
-    case TOLD_WAYS:
+    case REPORTED_BUSIEST:
+    case REPORTED_MODES:
         break;
     }
     return load_sum_busiest(p->loads, now_us);
@@ -425,16 +435,16 @@
 /* An instance reports its requests and is told those of others, as they were
  * last reported. */
 static void
-tell_loads(play_t *p, guint n, double now_ms)
+report_loads(simulation_t *p, guint n, double now_ms)
 {
     char name[8];
     g_snprintf(name, sizeof(name), "%u", n);
-    GArray *own = directory_loads(p->seen[n]);
+    GArray *own = directory_loads(p->directories[n]);
     load_sum_report(p->loads, name, own, 0);
     gint64 now_us = (gint64)(now_ms * 1000);
-    GArray *all = loads_told(p, now_us);
-    directory_take_loads(p->seen[n], all, own);
-    split_demand_t demand = directory_demand(p->seen[n], "s", now_us);
+    GArray *all = reported_loads(p, now_us);
+    directory_take_loads(p->directories[n], all, own);
+    split_demand_t demand = directory_demand(p->directories[n], "s", now_us);
     prompt_mix_fill_demand(&p->mix[n], p->instances, now_us, &demand);
     demand.tokens_per_ms = engine_model_tokens_per_ms(&p->model[n]);
     engine_split_update(&p->split[n], &demand, now_us);
@@ -444,45 +454,46 @@
 
 /* Those whose turn it is: each in its own moment of the interval. */
 static void
-tell_due(play_t *p, guint now_ms)
+report_due(simulation_t *p, guint now_ms)
 {
-    guint tell_ms = p->load->tell_ms > 0 ? p->load->tell_ms : TELL_MS;
+    guint report_ms = p->load->report_ms > 0 ? p->load->report_ms : REPORT_MS;
     for (guint n = 0; n < p->instances; n++) {
-        guint phase = n * tell_ms / p->instances / TICK_MS * TICK_MS;
-        if (now_ms % tell_ms == phase) {
-            tell_loads(p, n, now_ms);
+        guint phase = n * report_ms / p->instances / TICK_MS * TICK_MS;
+        if (now_ms % report_ms == phase) {
+            report_loads(p, n, now_ms);
             ask_limits(p, n, now_ms);
-            if (p->load->parts_told) {
-                tell_parts(p, n);
+            if (p->load->parts_reported) {
+                report_parts(p, n);
             }
         }
     }
 }
 
 static void
-note_busiest(play_t *p)
+record_busiest(simulation_t *p)
 {
-    guint counts[ENGINES_MOST] = {0};
+    guint counts[ENGINES_MAX] = {0};
     guint busiest = 0;
-    for (guint i = 0; i < p->under_way->len; i++) {
-        const play_request_t *r = p->under_way->pdata[i];
+    for (guint i = 0; i < p->in_flight->len; i++) {
+        const simulated_request_t *r = p->in_flight->pdata[i];
         guint at = engine_of(r->endpoint);
         counts[at]++;
         busiest = MAX(busiest, counts[at]);
     }
-    p->most += busiest;
-    p->sum += p->under_way->len;
+    p->busiest_sum += busiest;
+    p->in_flight_sum += p->in_flight->len;
 }
 
 /* Requests at the busiest engine in parts of the mean. */
 static double
-busiest_of(const play_t *p)
+busiest_ratio(const simulation_t *p)
 {
-    return (double)p->most * p->load->engines / (double)MAX(p->sum, 1);
+    return (double)p->busiest_sum * p->load->engines /
+           (double)MAX(p->in_flight_sum, 1);
 }
 
 static void
-play(play_t *p)
+simulate(simulation_t *p)
 {
     const load_t *load = p->load;
     guint phase = 0;
@@ -496,26 +507,27 @@
             return;
         }
         for (kind_t kind = 0; kind < KINDS; kind++) {
-            double chance = load->phases[phase].a_second[kind] * TICK_MS / 1e3;
+            double chance =
+                load->phases[phase].arrivals_per_s[kind] * TICK_MS / 1e3;
             if (g_rand_double(p->random) < chance) {
-                play_request(p, kind, ms);
+                simulation_send(p, kind, ms);
             }
         }
         for (guint i = 0; i < load->engines; i++) {
             batch_engine_run(p->engines[i], ms);
         }
-        hear_engines(p);
-        tell_due(p, ms);
-        if (ms % TELL_MS == 0) {
-            note_busiest(p);
+        record_progress(p);
+        report_due(p, ms);
+        if (ms % REPORT_MS == 0) {
+            record_busiest(p);
         }
     }
 }
 
 static double
-part_in_aim(const play_t *p, kind_t kind)
+on_time_fraction(const simulation_t *p, kind_t kind)
 {
-    return (double)p->served[kind].in_aim / MAX(p->served[kind].asked, 1);
+    return (double)p->served[kind].on_time / MAX(p->served[kind].requests, 1);
 }
 
 /* Engines of two speeds and slot counts. */
@@ -542,9 +554,9 @@
 {
     static const struct {
         load_t load;
-        double long_least; /* part in aim */
-        double chat_least;
-        double gain_least; /* of long prompts, against a border at 0.6 */
+        double min_long; /* part in aim */
+        double min_chat;
+        double min_gain; /* of long prompts, against a border at 0.6 */
     } CASES[] = {
         {{.kind = &FAST,
           .engines = 12,
@@ -564,20 +576,20 @@
          0.02},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
-        play_t follows;
-        play_t stays;
-        load_t fixed = CASES[i].load;
-        fixed.fixed_part = 0.6;
-        play_init(&follows, &CASES[i].load, 7);
-        play(&follows);
-        play_init(&stays, &fixed, 7);
-        play(&stays);
-        CU_ASSERT(part_in_aim(&follows, KIND_LONG) >= CASES[i].long_least);
-        CU_ASSERT(part_in_aim(&follows, KIND_CHAT) >= CASES[i].chat_least);
-        CU_ASSERT(part_in_aim(&follows, KIND_LONG) >=
-                  part_in_aim(&stays, KIND_LONG) + CASES[i].gain_least);
-        play_clear(&follows);
-        play_clear(&stays);
+        simulation_t adaptive;
+        simulation_t fixed;
+        load_t fixed_load = CASES[i].load;
+        fixed_load.fixed_fraction = 0.6;
+        simulation_init(&adaptive, &CASES[i].load, 7);
+        simulate(&adaptive);
+        simulation_init(&fixed, &fixed_load, 7);
+        simulate(&fixed);
+        CU_ASSERT(on_time_fraction(&adaptive, KIND_LONG) >= CASES[i].min_long);
+        CU_ASSERT(on_time_fraction(&adaptive, KIND_CHAT) >= CASES[i].min_chat);
+        CU_ASSERT(on_time_fraction(&adaptive, KIND_LONG) >=
+                  on_time_fraction(&fixed, KIND_LONG) + CASES[i].min_gain);
+        simulation_clear(&adaptive);
+        simulation_clear(&fixed);
     }
 }
 
@@ -620,40 +632,40 @@
 {
     static const struct {
         guint instances;
-        double long_least; /* parts in aim */
-        double short_least;
-        double again_most;   /* of the shared tokens, read again */
-        double busiest_most; /* requests, in parts of the mean */
+        double min_long; /* parts in aim */
+        double min_short;
+        double max_reread;  /* of the shared tokens, read again */
+        double max_busiest; /* requests, in parts of the mean */
     } CASES[] = {
         {3, 0.88, 0.95, 0.08, 3.6},
         {30, 0.90, 0.95, 0.08, 3.6},
         {300, 0.92, 0.93, 0.08, 3.6},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
-        play_t p;
+        simulation_t p;
         load_t load = {
             .kind = &NARROW,
-            .requests = DRAFTS,
+            .prompts = DRAFTS,
             .engines = 48,
             .phases = {{3, {60, 57, 86}}, {9, {115, 57, 86}}, {14, {0, 0, 0}}},
             .phase_count = 3,
             .instances = CASES[i].instances,
             .parts = 600,
-            .tell_ms = 100,
+            .report_ms = 100,
         };
-        play_init(&p, &load, 13);
-        play(&p);
-        double again = (double)p.read_again / (double)p.shared;
+        simulation_init(&p, &load, 13);
+        simulate(&p);
+        double reread = (double)p.reread_tokens / (double)p.shared;
         printf("%u: long %.3f chat %.3f tag %.3f again %.3f busiest %.2f; ",
-               p.instances, part_in_aim(&p, KIND_LONG),
-               part_in_aim(&p, KIND_CHAT), part_in_aim(&p, KIND_TAG), again,
-               busiest_of(&p));
-        CU_ASSERT(part_in_aim(&p, KIND_LONG) >= CASES[i].long_least);
-        CU_ASSERT(part_in_aim(&p, KIND_CHAT) >= CASES[i].short_least);
-        CU_ASSERT(part_in_aim(&p, KIND_TAG) >= CASES[i].short_least);
-        CU_ASSERT(again <= CASES[i].again_most);
-        CU_ASSERT(busiest_of(&p) <= CASES[i].busiest_most);
-        play_clear(&p);
+               p.instances, on_time_fraction(&p, KIND_LONG),
+               on_time_fraction(&p, KIND_CHAT), on_time_fraction(&p, KIND_TAG),
+               reread, busiest_ratio(&p));
+        CU_ASSERT(on_time_fraction(&p, KIND_LONG) >= CASES[i].min_long);
+        CU_ASSERT(on_time_fraction(&p, KIND_CHAT) >= CASES[i].min_short);
+        CU_ASSERT(on_time_fraction(&p, KIND_TAG) >= CASES[i].min_short);
+        CU_ASSERT(reread <= CASES[i].max_reread);
+        CU_ASSERT(busiest_ratio(&p) <= CASES[i].max_busiest);
+        simulation_clear(&p);
     }
 }
 
@@ -662,25 +674,25 @@
 static void
 test_hot_part(void)
 {
-    play_t p;
+    simulation_t p;
     load_t load = {
         .kind = &NARROW,
-        .requests = DRAFTS,
+        .prompts = DRAFTS,
         .engines = 48,
         .phases = {{6, {40, 60, 60}}, {10, {0, 0, 0}}},
         .phase_count = 2,
         .instances = 30,
         .parts = 2,
-        .tell_ms = 100,
+        .report_ms = 100,
     };
-    play_init(&p, &load, 17);
-    play(&p);
-    printf("long %.3f chat %.3f tag %.3f; ", part_in_aim(&p, KIND_LONG),
-           part_in_aim(&p, KIND_CHAT), part_in_aim(&p, KIND_TAG));
-    CU_ASSERT(part_in_aim(&p, KIND_LONG) >= 0.9);
-    CU_ASSERT(part_in_aim(&p, KIND_CHAT) >= 0.9);
-    CU_ASSERT(part_in_aim(&p, KIND_TAG) >= 0.9);
-    play_clear(&p);
+    simulation_init(&p, &load, 17);
+    simulate(&p);
+    printf("long %.3f chat %.3f tag %.3f; ", on_time_fraction(&p, KIND_LONG),
+           on_time_fraction(&p, KIND_CHAT), on_time_fraction(&p, KIND_TAG));
+    CU_ASSERT(on_time_fraction(&p, KIND_LONG) >= 0.9);
+    CU_ASSERT(on_time_fraction(&p, KIND_CHAT) >= 0.9);
+    CU_ASSERT(on_time_fraction(&p, KIND_TAG) >= 0.9);
+    simulation_clear(&p);
 }
 
 /* Bursts of chats and of drafts by turns: the border moves over the homes of
@@ -688,15 +700,15 @@
  * tokens 0.082 are read again and 0.90 of the drafts in aim; where the
  * instances tell each other, 0.013 and 0.92. */
 static void
-test_parts_told(void)
+test_parts_reported(void)
 {
-    double again[2];
-    double in_aim[2];
-    for (int told = 0; told < 2; told++) {
-        play_t p;
+    double reread[2];
+    double on_time[2];
+    for (int reported = 0; reported < 2; reported++) {
+        simulation_t p;
         load_t load = {
             .kind = &NARROW,
-            .requests = DRAFTS,
+            .prompts = DRAFTS,
             .engines = 48,
             .phases = {{8, {40, 57, 86}},
                        {14, {40, 180, 86}},
@@ -705,19 +717,19 @@
             .phase_count = 4,
             .instances = 60,
             .parts = 600,
-            .tell_ms = 100,
-            .parts_told = told,
+            .report_ms = 100,
+            .parts_reported = reported,
         };
-        play_init(&p, &load, 19);
-        play(&p);
-        again[told] = (double)p.read_again / (double)p.shared;
-        in_aim[told] = part_in_aim(&p, KIND_LONG);
-        printf("again %.3f long %.3f chat %.3f; ", again[told], in_aim[told],
-               part_in_aim(&p, KIND_CHAT));
-        play_clear(&p);
+        simulation_init(&p, &load, 19);
+        simulate(&p);
+        reread[reported] = (double)p.reread_tokens / (double)p.shared;
+        on_time[reported] = on_time_fraction(&p, KIND_LONG);
+        printf("again %.3f long %.3f chat %.3f; ", reread[reported],
+               on_time[reported], on_time_fraction(&p, KIND_CHAT));
+        simulation_clear(&p);
     }
-    CU_ASSERT(again[1] <= again[0] / 2);
-    CU_ASSERT(in_aim[1] >= in_aim[0]);
+    CU_ASSERT(reread[1] <= reread[0] / 2);
+    CU_ASSERT(on_time[1] >= on_time[0]);
 }
 
 static gint
@@ -739,10 +751,10 @@
         double speed; /* of a moderate engine */
         guint slots;
         double median_ms;
-        double most_ms; /* of 95 in 100 */
+        double p95_ms; /* of 95 in 100 */
     } CASES[] = {{0.5, 16, 60, 300}, {1, 32, 25, 200}, {3, 64, 12, 60}};
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
-        play_t p;
+        simulation_t p;
         engine_kind_t kind = {.slots = CASES[i].slots,
                               .step_ms = 4 / CASES[i].speed,
                               .slot_ms = 0.1 / CASES[i].speed,
@@ -755,64 +767,67 @@
             .phases = {{15, {60 * CASES[i].speed, 50 * CASES[i].speed}}},
             .phase_count = 1,
         };
-        play_init(&p, &load, 11);
-        play(&p);
+        simulation_init(&p, &load, 11);
+        simulate(&p);
         g_array_remove_range(p.errors, 0, p.errors->len / 4);
         g_array_sort(p.errors, by_size);
         guint count = p.errors->len;
         double median = g_array_index(p.errors, double, count / 2);
-        double most = g_array_index(p.errors, double, count * 95 / 100);
-        printf("%.0f and %.0f ms ", median, most);
+        double p95 = g_array_index(p.errors, double, count * 95 / 100);
+        printf("%.0f and %.0f ms ", median, p95);
         CU_ASSERT(median <= CASES[i].median_ms);
-        CU_ASSERT(most <= CASES[i].most_ms);
-        play_clear(&p);
+        CU_ASSERT(p95 <= CASES[i].p95_ms);
+        simulation_clear(&p);
     }
 }
 
 /* More engines are busy than are told of. Told of the busiest only, callers
  * get what they get when all are told, and not what they get where none is. */
 static void
-test_busiest_told(void)
+test_busiest_reported(void)
 {
-    static const char *const NAMES[TOLD_WAYS] = {"busiest", "all", "none"};
-    double in_aim[TOLD_WAYS][KINDS];
-    for (told_t told = 0; told < TOLD_WAYS; told++) {
-        play_t p;
+    static const char *const NAMES[REPORTED_MODES] = {"busiest", "all",
+                                                      "none"};
+    double on_time[REPORTED_MODES][KINDS];
+    for (reported_t reported = 0; reported < REPORTED_MODES; reported++) {
+        simulation_t p;
         load_t load = {
             .kind = &NARROW,
-            .requests = DRAFTS,
+            .prompts = DRAFTS,
             .engines = 700,
             .phases = {{5, {320, 450, 320}}, {8, {0, 0, 0}}},
             .phase_count = 2,
             .instances = 60,
             .parts = 600,
-            .tell_ms = 100,
-            .parts_told = TRUE,
-            .told = told,
+            .report_ms = 100,
+            .parts_reported = TRUE,
+            .reported = reported,
         };
-        play_init(&p, &load, 23);
-        play(&p);
-        printf("%s:", NAMES[told]);
+        simulation_init(&p, &load, 23);
+        simulate(&p);
+        printf("%s:", NAMES[reported]);
         for (kind_t kind = 0; kind < KINDS; kind++) {
-            in_aim[told][kind] = part_in_aim(&p, kind);
-            printf(" %.3f", in_aim[told][kind]);
+            on_time[reported][kind] = on_time_fraction(&p, kind);
+            printf(" %.3f", on_time[reported][kind]);
         }
         printf("; ");
-        play_clear(&p);
+        simulation_clear(&p);
     }
     for (kind_t kind = 0; kind < KINDS; kind++) {
-        CU_ASSERT(in_aim[TOLD_BUSIEST][kind] >= 0.95);
-        CU_ASSERT(in_aim[TOLD_BUSIEST][kind] >= in_aim[TOLD_ALL][kind] - 0.01);
+        CU_ASSERT(on_time[REPORTED_BUSIEST][kind] >= 0.95);
+        CU_ASSERT(on_time[REPORTED_BUSIEST][kind] >=
+                  on_time[REPORTED_ALL][kind] - 0.01);
     }
-    CU_ASSERT(in_aim[TOLD_BUSIEST][KIND_LONG] > in_aim[TOLD_NONE][KIND_LONG]);
+    CU_ASSERT(on_time[REPORTED_BUSIEST][KIND_LONG] >
+              on_time[REPORTED_NONE][KIND_LONG]);
 }
 
 /* The most sends in 4 s to an engine that named a limit. */
 static guint
-most_in_window(const play_t *p)
+max_in_window(const simulation_t *p)
 {
     enum { WINDOW_MS = 4000 };
-    guint most = 0;
+    guint max_sends = 0;
     for (guint i = 0; i < p->load->limited; i++) {
         const GArray *sent = p->limited_ms[i];
         guint first = 0;
@@ -821,10 +836,10 @@
             while (at - g_array_index(sent, double, first) > WINDOW_MS) {
                 first++;
             }
-            most = MAX(most, k - first + 1);
+            max_sends = MAX(max_sends, k - first + 1);
         }
     }
-    return most;
+    return max_sends;
 }
 
 /* A third of the engines name a limit: they get no more, and what is turned
@@ -835,34 +850,34 @@
 {
     enum { LIMITED = 4 };
     static const double LIMITS[] = {0.4, 2, 10};
-    static const double LEAST = 0.95; /* in aim, of either kind */
+    static const double MIN_ON_TIME = 0.95; /* in aim, of either kind */
     for (gsize i = 0; i < G_N_ELEMENTS(LIMITS); i++) {
-        guint most[2];
-        double in_aim[2][2];
-        for (guint heeded = 0; heeded < 2; heeded++) {
-            play_t p;
+        guint max_sends[2];
+        double on_time[2][2];
+        for (guint limits_known = 0; limits_known < 2; limits_known++) {
+            simulation_t p;
             load_t load = {.kind = &FAST,
                            .engines = 12,
                            .phases = {{12, {40, 80}}, {15, {0, 0}}},
                            .phase_count = 2,
                            .instances = 8,
-                           .tell_ms = 100,
+                           .report_ms = 100,
                            .limited = LIMITED,
                            .limit = LIMITS[i],
-                           .heeded = (gboolean)heeded};
-            play_init(&p, &load, 11);
-            play(&p);
-            most[heeded] = most_in_window(&p);
-            in_aim[heeded][0] = part_in_aim(&p, KIND_LONG);
-            in_aim[heeded][1] = part_in_aim(&p, KIND_CHAT);
-            play_clear(&p);
+                           .limits_known = (gboolean)limits_known};
+            simulation_init(&p, &load, 11);
+            simulate(&p);
+            max_sends[limits_known] = max_in_window(&p);
+            on_time[limits_known][0] = on_time_fraction(&p, KIND_LONG);
+            on_time[limits_known][1] = on_time_fraction(&p, KIND_CHAT);
+            simulation_clear(&p);
         }
         printf("%.1f: %u and %u in 4 s, in aim %.3f %.3f and %.3f %.3f; ",
-               LIMITS[i], most[0], most[1], in_aim[0][0], in_aim[0][1],
-               in_aim[1][0], in_aim[1][1]);
-        CU_ASSERT(most[1] <= 6 * LIMITS[i] + 5);
-        CU_ASSERT(in_aim[1][0] >= LEAST);
-        CU_ASSERT(in_aim[1][1] >= LEAST);
+               LIMITS[i], max_sends[0], max_sends[1], on_time[0][0],
+               on_time[0][1], on_time[1][0], on_time[1][1]);
+        CU_ASSERT(max_sends[1] <= 6 * LIMITS[i] + 5);
+        CU_ASSERT(on_time[1][0] >= MIN_ON_TIME);
+        CU_ASSERT(on_time[1][1] >= MIN_ON_TIME);
     }
 }
 
@@ -870,9 +885,9 @@
     {"bursts of either kind", test_bursts},
     {"few instances and many", test_many_instances},
     {"half of the prompts share a part", test_hot_part},
-    {"parts told among instances", test_parts_told},
+    {"parts told among instances", test_parts_reported},
     {"expected first events", test_expected_first_events},
-    {"the busiest engines are told", test_busiest_told},
+    {"the busiest engines are told", test_busiest_reported},
     {"engines that name limits, and the others", test_limited_engines},
 };
 
