--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -1,5 +1,4 @@
-/* Placement over the requests of one service: which endpoint takes which
- * prompt. */
+/* Tests placement: which endpoint of one service gets which prompt. */
 #include <string.h>
 
 #include "carobloom/policy/directory.h"
@@ -82,7 +81,7 @@
     return place_of(d, c).endpoint;
 }
 
-/* Long and short prompts meet on no engine while neither side is loaded. */
+/* Long and short prompts share no engine while neither partition is loaded. */
 static void
 test_partitions(void)
 {
@@ -96,11 +95,11 @@
         endpoint_t *e = place(d, 800, 0, 0, TRUE, draw);
         CU_ASSERT_FALSE(g_hash_table_contains(with_long, e));
     }
-    /* 0.6 of 18 are eleven. */
+    /* 0.6 of 18 engines is eleven. */
     CU_ASSERT(g_hash_table_size(with_long) >= 10);
     CU_ASSERT(g_hash_table_size(with_long) <= 11);
-    /* With all their engines loaded far over their objective, long prompts
-     * may go among the short ones. */
+    /* Once all their engines are loaded far beyond their objective, long
+     * prompts may go to engines for short prompts. */
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, with_long);
@@ -113,8 +112,8 @@
     directory_destroy(d);
 }
 
-/* Requests of one session go to one engine, at all instances, until it is
- * loaded. */
+/* Requests of one session go to the same engine at all instances, until that
+ * engine is loaded. */
 static void
 test_affinity(void)
 {
@@ -135,7 +134,7 @@
     directory_destroy(other);
 }
 
-/* Failing endpoints are left, and still used when there is no other. */
+/* Failing endpoints are avoided, but still used when there is no other. */
 static void
 test_failing(void)
 {
@@ -161,8 +160,8 @@
     directory_destroy(d);
 }
 
-/* A burst of long prompts: so many are taken as an engine ends in time, the
- * others are not, and short prompts still find a place. */
+/* In a burst of long prompts, an engine accepts as many as finish in time and
+ * rejects the others, and short prompts still find a slot. */
 static void
 test_slots(void)
 {
@@ -195,12 +194,12 @@
     directory_destroy(d);
 }
 
-/* Away from where its shared parts are, a prompt takes them from there over
- * the engines' links; the other way round when they may be elsewhere. */
+/* A prompt that is not placed at a home of its shared parts fetches them from
+ * the home. With a failing home, it fetches them elsewhere. */
 static void
 test_fetching(void)
 {
-    static const double LINK = 800; /* tokens a ms */
+    static const double LINK = 800; /* tokens per ms */
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 12000,
                       .shared = 7,
@@ -208,7 +207,7 @@
                       .partitioned = TRUE,
                       .draw = 3};
     endpoint_t *home = place_of(d, c).endpoint;
-    CU_ASSERT_PTR_NULL(place_of(d, c).source); /* engines that do not fetch */
+    CU_ASSERT_PTR_NULL(place_of(d, c).source); /* engines don't fetch */
     c.fetch_tokens_per_ms = LINK;
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
@@ -217,7 +216,8 @@
     CU_ASSERT_PTR_NOT_EQUAL(placed.endpoint, home);
     CU_ASSERT_PTR_EQUAL(placed.source, home);
     CU_ASSERT_EQUAL(placed.read_tokens, 7000);
-    /* One that fails is not asked: the next keeper is, and no third. */
+    /* A failing home is not fetched from: the fallback home is, and no third
+     * endpoint. */
     home->failures = 0.5;
     placed = place_of(d, c);
     CU_ASSERT_PTR_NOT_EQUAL(placed.source, home);
@@ -227,8 +227,8 @@
     directory_destroy(d);
 }
 
-/* Long prompts that share no part have no home: every engine of their side
- * takes as many as a home does. */
+/* Long prompts without a shared part have no home: every engine of their
+ * partition accepts as many as a home does. */
 static void
 test_slots_without_home(void)
 {
@@ -246,8 +246,9 @@
     directory_destroy(d);
 }
 
-/* A burst of prompts on engines whose slots would hold more than their memory:
- * the tokens bound them, so large prompts take more of the places. */
+/* A burst of prompts on engines with slots for more tokens than fit into their
+ * memory: the tokens bound what is accepted, so fewer large prompts than small
+ * ones are. */
 static void
 test_slots_by_memory(void)
 {
@@ -278,9 +279,9 @@
     }
 }
 
-/* What all instances keep in an engine's memory counts, as told with the
- * loads; while these are not known, as much for each as this one keeps there.
- */
+/* The prompt tokens of all instances count against an engine's memory, as
+ * reported with the loads. While the loads are unknown, every instance is
+ * assumed to have as many tokens there as this one. */
 static void
 test_memory_of_all(void)
 {
@@ -288,7 +289,7 @@
     static const struct {
         const char *name;
         guint32 others;   /* tokens of the other instances */
-        guint load_scale; /* while loads are not known; 0: they are */
+        guint load_scale; /* 0: loads are known */
         gboolean stays_home;
     } MEMORIES[] = {
         {"this one alone", 0, 0, TRUE},
@@ -316,8 +317,8 @@
     }
 }
 
-/* The home is left for a queue that would make the first event late, not for
- * a shorter one; both as the others tell. */
+/* A prompt leaves its home for a queue that would make the first event late,
+ * but not for a shorter queue. Both queues are known from reports only. */
 static void
 test_queue_at_home(void)
 {
@@ -350,8 +351,9 @@
     }
 }
 
-/* A burst while no control instance passes loads on: eight instances that
- * know their own requests only still take no more than the engines can end. */
+/* A burst while no control instance passes on loads: eight instances that know
+ * only their own requests still accept no more than the engines finish in
+ * time. */
 static void
 test_slots_without_loads(void)
 {
@@ -375,7 +377,7 @@
             accepted[atoi(e->id + strlen("engine-"))]++;
             sum++;
         }
-        /* A short prompt is not refused by the coarse count. */
+        /* The coarse estimate does not reject short prompts. */
         c.tokens = 800;
         c.shared = 0;
         c.shared_tokens = 0;
@@ -392,7 +394,7 @@
     }
 }
 
-/* What the other instances run counts against the places. */
+/* The requests of other instances use up slots. */
 static void
 test_loads_of_others(void)
 {
@@ -416,7 +418,8 @@
     directory_destroy(d);
 }
 
-/* One that refuses all looks idle; it is left for longer each time. */
+/* An endpoint that refuses all requests looks idle; it is avoided for longer
+ * after each refusal. */
 static void
 test_refusing(void)
 {
@@ -439,8 +442,8 @@
     directory_destroy(d);
 }
 
-/* A long prompt keeps away from streams that its reading would hold up; off
- * its side it goes only where nothing would be. */
+/* A long prompt avoids engines where reading it would delay streams. Outside
+ * its partition it goes only to engines where it delays none. */
 static void
 test_pauses_guarded(void)
 {
@@ -452,7 +455,7 @@
                       .target_ms = 500,
                       .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
-    home->running = 20; /* streams that are not long */
+    home->running = 20; /* streams of short prompts */
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
     home->long_running = 20;
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
@@ -467,15 +470,14 @@
     directory_destroy(d);
 }
 
-/* A home that is full leaves to the next keeper what that reads within the
- * objective, and to no engine beyond. */
+/* A full home leaves to the fallback home the prompts that the latter reads
+ * within their objective, and leaves none to other engines. */
 static void
 test_fallback_home(void)
 {
     static const struct {
         gint64 target_ms;
-        guint
-            min_running; /* requests that run at the next keeper in the end */
+        guint min_running; /* at the fallback home in the end */
         guint max_running;
     } OBJECTIVES[] = {{500, 4, 5}, {2000, 14, 15}, {8000, 27, 28}};
     for (gsize i = 0; i < G_N_ELEMENTS(OBJECTIVES); i++) {
@@ -501,8 +503,8 @@
     }
 }
 
-/* When the border moves over a prompt's home, the next one fetches the shared
- * parts from there. */
+/* When the partition boundary moves across a prompt's home, the new home
+ * fetches the shared parts from the former one. */
 static void
 test_former_home(void)
 {
@@ -528,8 +530,9 @@
     directory_destroy(d);
 }
 
-/* A large prompt finds with the next keeper what typical ones find; reckoned
- * with its own reading it would find it full at two requests. */
+/* The fallback home accepts a large prompt where it accepts typical ones. If
+ * the bound followed from the size of the large prompt, the fallback home
+ * would count as full with two requests. */
 static void
 test_large_at_fallback_home(void)
 {
@@ -554,8 +557,8 @@
     }
 }
 
-/* The home of a part drains: the next home fetches the part from it while it
- * lends its memory, and from others once it does not. */
+/* When the home of a part drains, the next home fetches the part from it while
+ * its memory can be fetched from, and from other endpoints afterwards. */
 static void
 test_fetch_from_draining(void)
 {
@@ -582,8 +585,9 @@
     directory_destroy(d);
 }
 
-/* An engine that others sent the part to is asked for it, also where the ranks
- * say another; one that fails is not. */
+/* A part is fetched from an engine that other instances reported as having
+ * been sent the part, even if the ranking suggests another engine, unless that
+ * engine fails. */
 static void
 test_fetch_from_source(void)
 {
@@ -610,8 +614,8 @@
     directory_destroy(d);
 }
 
-/* An endpoint that gets a part for the first time has the part before it,
- * which more prompts share, from one that surely keeps that. */
+/* An endpoint that gets a part for the first time fetches the preceding part,
+ * which more prompts share, from an endpoint that was sent it. */
 static void
 test_fetch_prefix(void)
 {
@@ -634,7 +638,7 @@
     CU_ASSERT(then.prefix_cached);
     CU_ASSERT_PTR_EQUAL(then.endpoint, first.endpoint);
     CU_ASSERT_PTR_EQUAL(then.source, other);
-    /* One that keeps all of it is better. */
+    /* A source of the whole prefix is preferred. */
     endpoint_t *whole = list->pdata[list->len - 1];
     CU_ASSERT_PTR_NOT_EQUAL(whole, first.endpoint);
     directory_note_part(d, whole, THING);
@@ -642,8 +646,8 @@
     directory_destroy(d);
 }
 
-/* Of many idle endpoints an instance uses few, to which it has connections;
- * one that is busy is left for another. */
+/* Of many idle endpoints, an instance uses the few that it has connections to,
+ * and another one when these are busy. */
 static void
 test_connections_used(void)
 {
@@ -673,8 +677,9 @@
     directory_destroy(d);
 }
 
-/* Short prompts that share a part go to its keepers, whatever is drawn, while
- * these are no more loaded than others; a crowded one is left. */
+/* Short prompts that share a part go to its homes, whatever sample is drawn,
+ * while these are no more loaded than others. A home without a free slot is
+ * avoided. */
 static void
 test_short_at_homes(void)
 {
@@ -691,8 +696,8 @@
     directory_destroy(d);
 }
 
-/* A home that named a limit is left for the next while no send is granted, and
- * is found again with one, or once the limit is lifted. */
+/* A home that named a limit is skipped while no send is granted, and is used
+ * again once one is granted or the limit ends. */
 static void
 test_limited_home(void)
 {
@@ -722,8 +727,8 @@
     directory_destroy(d);
 }
 
-/* Requests that a limit kept from the only endpoint that was well went one
- * after the other to those that had failed. */
+/* Requests that a limit keeps from the only healthy endpoint must not be sent
+ * to failing endpoints instead, one after the other. */
 static void
 test_limited_beside_closed(void)
 {
@@ -742,7 +747,8 @@
     directory_destroy(d);
 }
 
-/* Endpoints that have no send granted take nothing, and it is said why. */
+/* Endpoints without a granted send accept nothing, and the rejection names the
+ * reason. */
 static void
 test_all_limited(void)
 {
