--- a/tests/test_engine_split.c
+++ b/tests/test_engine_split.c
@@ -1,5 +1,5 @@
-/* What instances learn of a service's prompts and engines, and how they divide
- * the engines by it. */
+/* Tests what instances learn about a service's prompts and engines, and how
+ * they divide the engines accordingly. */
 #include "carobloom/policy/engine_model.h"
 #include "carobloom/policy/engine_split.h"
 #include "carobloom/policy/prompt_mix.h"
@@ -7,7 +7,8 @@
 
 enum { SECOND = 1000000 };
 
-/* Runs `demand` for ten seconds, told each 200 ms. */
+/* The fraction for long prompts after ten seconds of `demand`, reported every
+ * 200 ms. */
 static double
 fraction_after(split_demand_t demand)
 {
@@ -18,8 +19,8 @@
     return engine_split_long_fraction(&split);
 }
 
-/* The more urgent kind gets the engines that it needs, whatever the other one
- * has waiting; the rest is shared. */
+/* The more urgent kind gets the engines that it needs, however many prompts of
+ * the other kind wait; the rest is shared. */
 static void
 test_split(void)
 {
@@ -97,7 +98,7 @@
     }
 }
 
-/* The border goes by whole engines, not with every request. */
+/* The partition boundary moves by whole engines, not with every request. */
 static void
 test_split_is_steady(void)
 {
@@ -117,8 +118,8 @@
     CU_ASSERT(moves <= 2);
 }
 
-/* What the engines of a service do is learned from a bad guess, and outliers
- * do not spoil it. */
+/* The model learns the speed of engines from an inaccurate initial estimate,
+ * and outliers do not distort it. */
 static void
 test_engine_model(void)
 {
@@ -143,14 +144,14 @@
     }
 }
 
-/* Engines are parted while long prompts come, and until an instance has seen
- * enough requests to know that none do. */
+/* Engines are partitioned while long prompts arrive, and until an instance has
+ * seen enough requests to know that none do. */
 static void
 test_prompt_mix(void)
 {
     static const struct {
         guint tokens[2]; /* of two requests */
-        gint64 at_s[2];  /* when they come */
+        gint64 at_s[2];  /* arrival times */
         gint64 queried_s;
         gboolean partitioned;
     } CASES[] = {
@@ -172,7 +173,7 @@
     }
 }
 
-/* What arrives is counted over the last seconds, and taken to be the same at
+/* Arrivals are counted over the last seconds and assumed to be the same at
  * every instance. */
 static void
 test_arrivals(void)
