--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -1,5 +1,6 @@
-/* What instances know of each other's requests under way: messages, whom each
- * reports to, sums, and how old what is known gets. Without a socket. */
+/* Tests what instances know about each other's requests in flight: messages,
+ * the choice of the control instance to report to, sums, and the age of the
+ * loads. Uses no sockets. */
 #include <string.h>
 
 #include "carobloom/gateway/load_wire.h"
@@ -40,7 +41,8 @@
     CU_ASSERT_EQUAL(load->long_waiting, 6000);
 }
 
-/* Cut or changed bytes are refused or read to some message, no more. */
+/* Truncated or changed bytes are rejected or read as some message, without a
+ * crash. */
 static void
 damage(GBytes *bytes, gboolean (*read)(GBytes *bytes))
 {
@@ -137,7 +139,7 @@
     load_sums_clear(&read);
     damage(bytes, read_sums);
     g_bytes_unref(bytes);
-    /* Loads out of order are no message. */
+    /* Loads that are not sorted are rejected. */
     endpoint_load_t again = {.endpoint = 77, .running = 1};
     g_array_append_val(sums.loads, again);
     bytes = load_sums_write(&sums);
@@ -182,7 +184,7 @@
     g_bytes_unref(reply);
 }
 
-/* ---- parts that were sent ---- */
+/* ---- feed of sent parts ---- */
 
 static void
 add_parts(part_feed_t *feed, guint64 first, guint count)
@@ -192,16 +194,16 @@
     g_array_unref(parts);
 }
 
-/* Each reader is told what came since, at most as many as are kept; one that
- * had heard more, of another instance or of one before a restart, all of
- * them. */
+/* Each reader gets the records added since its last read, up to the number
+ * kept. A reader that has received more than were added, from another instance
+ * or before a restart, gets all of them. */
 static void
 test_part_feed(void)
 {
     static const struct {
         guint added;
         guint64 received;
-        guint64 first; /* of what is told */
+        guint64 first; /* of the records returned */
         guint count;
     } CASES[] = {
         {0, 0, 0, 0},
@@ -226,7 +228,7 @@
     }
 }
 
-/* ---- whom each reports to ---- */
+/* ---- choice of the control instance to report to ---- */
 
 enum { COLLECTORS = 9 };
 
@@ -238,8 +240,8 @@
     return hash_text(str_from_cstr(name));
 }
 
-/* Control instances of which the first `near` are near, all but the bits of
- * `silent` answering. */
+/* Control instances, of which the first `near` are local. Those in the bits of
+ * `silent` do not answer. */
 static void
 collectors_fill(collector_t *collectors, guint near, guint silent)
 {
@@ -254,7 +256,7 @@
     const char *name;
     guint near;
     guint silent;  /* bits */
-    guint allowed; /* bits: any of these may be chosen */
+    guint allowed; /* bits: the instances that may be chosen */
 } collector_case_t;
 
 static const collector_case_t COLLECTOR_CASES[] = {
@@ -283,11 +285,12 @@
         if (chosen != c->allowed) {
             printf("%s: %x\n", c->name, chosen);
         }
-        CU_ASSERT_EQUAL(chosen, c->allowed); /* each of them, and no other */
+        CU_ASSERT_EQUAL(chosen, c->allowed); /* all of these and no other */
     }
 }
 
-/* Entry instances spread evenly; one that falls silent moves only its own. */
+/* Entry instances are spread evenly over the control instances. If one of
+ * these stops answering, only its own entry instances move. */
 static void
 test_collectors_even(void)
 {
@@ -341,14 +344,14 @@
     CU_ASSERT_FALSE(load_sum_clear_changed(sum));
     report(sum, "a", 1, 200 * MS);
     CU_ASSERT_EQUAL(running_in(sum), 5);
-    load_sum_expire(sum, 150 * MS); /* b fell silent */
+    load_sum_expire(sum, 150 * MS); /* the report of b expires */
     CU_ASSERT_EQUAL(running_in(sum), 1);
     CU_ASSERT(load_sum_clear_changed(sum));
     CU_ASSERT_EQUAL(load_sum_reporters(sum), 1);
     load_sum_destroy(sum);
 }
 
-/* Sums follow the reports: replaced, renewed, and taken out when silent. */
+/* Sums follow the reports as these are replaced, renewed and expired. */
 static void
 test_load_sum(void)
 {
@@ -387,14 +390,14 @@
 
 /* ---- ages ---- */
 
-/* What each instance is told holds of each other one what was so within the
- * bound. Played with the intervals that the control instances ask for, spread
- * at random. */
+/* The loads that each instance gets about every other one are no older than
+ * the bound. Simulated with the report intervals that the control instances
+ * ask for, from random start times. */
 typedef struct {
     guint entries;
     guint controls;
-    guint bound_ms;    /* of the oldest */
-    guint calls_per_s; /* at the busiest control instance, at most */
+    guint bound_ms;    /* on the oldest load */
+    guint calls_per_s; /* maximum at the busiest control instance */
 } age_case_t;
 
 static const age_case_t AGE_CASES[] = {
@@ -413,11 +416,12 @@
 
 typedef struct {
     const age_case_t *c;
-    guint *collector; /* the collector of each entry instance */
+    guint *collector; /* of each entry instance */
     guint reporters[COLLECTORS];
     guint calls[COLLECTORS];
-    gint64 *due;      /* the next report of each entry instance */
-    gint64 *known;    /* at its collector: when what is known of it was so */
+    gint64 *due;      /* time of each entry instance's next report */
+    gint64 *known;    /* at the collector: time of the loads known about each
+                         entry instance */
     gint64 *reported; /* the same at the other control instances */
     gint64 oldest_ms;
 } ages_t;
@@ -454,8 +458,8 @@
     g_free(a->reported);
 }
 
-/* Instance `n` reports and is told; what it is told ages until the next time.
- */
+/* Instance `n` reports and gets an answer, which ages until its next
+ * report. */
 static void
 ages_report(ages_t *a, guint n, gint64 now_ms)
 {
@@ -506,12 +510,12 @@
 
 /* ---- changes of sums ---- */
 
-enum { ENDPOINTS = 200 }; /* endpoints of the plays below */
+enum { ENDPOINTS = 200 }; /* of the simulations below */
 
-/* One control instance tells another over a way that loses messages. */
+/* One control instance sends loads to another, and messages get lost. */
 typedef struct {
-    load_sum_t *sender;   /* of who tells */
-    load_sum_t *receiver; /* of who is told */
+    load_sum_t *sender;
+    load_sum_t *receiver;
     load_delta_t *delta;
     guint64 sequence;
     guint reported; /* loads in all messages */
@@ -535,12 +539,13 @@
 
 typedef enum {
     DELIVERY_ACKNOWLEDGED,
-    DELIVERY_LOST,           /* the message does not arrive */
-    DELIVERY_UNACKNOWLEDGED, /* it does, and the answer is lost */
+    DELIVERY_LOST,           /* the message is lost */
+    DELIVERY_UNACKNOWLEDGED, /* the message arrives, but the acknowledgement is
+                                lost */
     DELIVERIES,
 } delivery_t;
 
-/* Tells once; whether the other has taken it as it is now. */
+/* Sends one message; whether the receiver applied it. */
 static gboolean
 exchange_once(exchange_t *t, delivery_t delivery)
 {
@@ -578,7 +583,7 @@
     g_array_unref(receiver);
 }
 
-/* An entry instance reports some requests at `busy` places drawn at random. */
+/* An entry instance reports requests at `busy` random endpoints. */
 static void
 report_some(load_sum_t *sum, GRand *random, guint busy)
 {
@@ -596,7 +601,8 @@
     g_array_unref(loads);
 }
 
-/* Whatever is lost, what was taken is what is so. */
+/* Whichever messages are lost, an applied message brings the receiver in sync
+ * with the sender. */
 static void
 test_changes(void)
 {
@@ -605,11 +611,11 @@
     exchange_init(&t);
     for (guint i = 0; i < 2000; i++) {
         report_some(t.sender, random, (guint)g_rand_int_range(random, 1, 40));
-        if (i % 97 == 0) { /* who is told starts again */
+        if (i % 97 == 0) { /* the receiver restarts */
             load_sum_destroy(t.receiver);
             t.receiver = load_sum_create();
         }
-        if (i % 131 == 0) { /* who tells starts again */
+        if (i % 131 == 0) { /* the sender restarts */
             load_delta_destroy(t.delta);
             t.delta = load_delta_create();
         }
@@ -625,7 +631,7 @@
     g_rand_free(random);
 }
 
-/* A change of a message that was not the last one known is not taken. */
+/* Changes to a message other than the last one received are not applied. */
 static void
 test_changes_of_another_base(void)
 {
@@ -644,7 +650,7 @@
     load_sum_destroy(s);
 }
 
-/* Loads told in 20 messages while `busy` endpoints are and ten change. */
+/* Loads sent in 20 messages with `busy` endpoints, of which ten change. */
 static guint
 loads_sent(guint busy)
 {
@@ -674,8 +680,8 @@
     CU_ASSERT_EQUAL(loads_sent(1000), 1000 + 19 * 10);
 }
 
-/* Of more busy endpoints than are told, the busiest ones are; of fewer, all.
- */
+/* Of more busy endpoints than fit into a report, the busiest are reported;
+ * otherwise all are. */
 static void
 test_busiest(void)
 {
@@ -709,7 +715,7 @@
 }
 
 /* A prompt that waits to be read makes an endpoint busier than a few streams
- * do; reports that come within the pause are told after it. */
+ * do. Reports that arrive between two sorts take effect with the next one. */
 static void
 test_busiest_order(void)
 {
