--- a/bench/decisions.c
+++ b/bench/decisions.c
@@ -27,7 +27,7 @@
     class_spec_t classes[CLASSES];
     for (guint i = 0; i < CLASSES; i++) {
         classes[i] = (class_spec_t){.tier = (int)(i / 2),
-                                    .least_share = 0.02,
+                                    .min_share = 0.02,
                                     .weight = 1,
                                     .first_token_us = 1000000,
                                     .deadline_us = 3600000000LL,
--- a/carobloomd/control/endpoint_leases.c
+++ b/carobloomd/control/endpoint_leases.c
@@ -86,7 +86,7 @@
 answer_heartbeat(const control_t *c, http_exchange_t *exchange,
                  registry_result_t result)
 {
-    if (result == REGISTRY_PAST) {
+    if (result == REGISTRY_OLD_INCARNATION) {
         answer_plain(exchange, 409, "{\"error\":\"it has started again\"}");
         return;
     }
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -171,8 +171,8 @@
 {
     gboolean full = request->epoch != c->epoch;
     guint64 through;
-    GPtrArray *leases = registry_since(c->registry, full ? 0 : request->cursor,
-                                       SYNC_LEASES_MAX, &through);
+    GPtrArray *leases = registry_changes_since(
+        c->registry, full ? 0 : request->cursor, SYNC_LEASES_MAX, &through);
     gboolean more = through < registry_cursor(c->registry);
     sync_answer_t answer = {
         .epoch = c->epoch,
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -259,7 +259,7 @@
     crash_note_t *note = note_add(link);
     endpoint_end_init(&note->end, end->endpoint, end->started_ms);
     for (guint i = 0; i < end->runs->len; i++) {
-        cut_run_t run = g_array_index(end->runs, cut_run_t, i);
+        interrupted_run_t run = g_array_index(end->runs, interrupted_run_t, i);
         endpoint_end_add(&note->end, run);
         run_history_note_cut(&link->entry->history, run.fingerprint,
                              note->at_us);
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -106,7 +106,7 @@
 /* ---- what ran there ---- */
 
 static void
-add_run(break_t *b, cut_run_t run)
+add_run(break_t *b, interrupted_run_t run)
 {
     if (b->end.runs->len >= ENDPOINT_RUNS_MAX) {
         counter_add(counter_get("cut_requests_dropped_total", NULL, FALSE), 1);
@@ -272,7 +272,8 @@
     GString *list = g_string_new(NULL);
     for (guint i = 0; i < MIN(runs->len, LOGGED_RUNS); i++) {
         char text[FINGERPRINT_TEXT];
-        fingerprint_text(g_array_index(runs, cut_run_t, i).fingerprint, text);
+        fingerprint_text(g_array_index(runs, interrupted_run_t, i).fingerprint,
+                         text);
         g_string_append_printf(list, "%s%s", i > 0 ? "," : "", text);
     }
     event_log_cstr("endpoint", b->end.endpoint);
--- a/carobloomd/gateway/crash_watch.h
+++ b/carobloomd/gateway/crash_watch.h
@@ -28,7 +28,7 @@
 
 /* A request at an endpoint. */
 typedef struct {
-    cut_run_t run;
+    interrupted_run_t run;
     gint64 sent_us; /* when it was sent there */
 } watched_run_t;
 
--- a/carobloomd/gateway/crash_wire.c
+++ b/carobloomd/gateway/crash_wire.c
@@ -33,7 +33,8 @@
     GVariantBuilder b;
     g_variant_builder_init(&b, G_VARIANT_TYPE("a(ty)"));
     for (guint i = 0; i < runs->len; i++) {
-        const cut_run_t *run = &g_array_index(runs, cut_run_t, i);
+        const interrupted_run_t *run =
+            &g_array_index(runs, interrupted_run_t, i);
         g_variant_builder_add(&b, "(ty)", run->fingerprint,
                               (guchar)run->stage);
     }
@@ -66,9 +67,10 @@
     guchar stage;
     gboolean sound = g_variant_iter_init(&iter, list) <= ENDPOINT_RUNS_MAX;
     while (sound && g_variant_iter_next(&iter, "(ty)", &fingerprint, &stage)) {
-        sound = stage < RUN_STAGES;
-        endpoint_end_add(end, (cut_run_t){.fingerprint = fingerprint,
-                                          .stage = (run_stage_t)stage});
+        sound = stage < RUN_STAGE_COUNT;
+        endpoint_end_add(end,
+                         (interrupted_run_t){.fingerprint = fingerprint,
+                                             .stage = (run_stage_t)stage});
     }
     g_variant_unref(list);
     return sound;
--- a/carobloomd/gateway/endpoints_page.c
+++ b/carobloomd/gateway/endpoints_page.c
@@ -33,9 +33,9 @@
 endpoint_json(const entry_t *e, const endpoint_t *endpoint)
 {
     gint64 now = entry_now(e);
-    const char *state = !endpoint_usable(endpoint, now) ? "unusable"
-                        : endpoint_open(endpoint, now)  ? "open"
-                                                        : "closed";
+    const char *state = !endpoint_usable(endpoint, now)     ? "unusable"
+                        : endpoint_available(endpoint, now) ? "open"
+                                                            : "closed";
     return json_pack("{s:s,s:s,s:s,s:s,s:s,s:I,s:I,s:o}", "endpoint",
                      endpoint->id, "service", endpoint->service, "address",
                      endpoint->address, "data_centre", endpoint->data_centre,
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -128,7 +128,8 @@
 void
 forward_end_wait(forward_t *f)
 {
-    endpoint_end_wait(f->endpoint, f->info.prompt_tokens, f->waiting_tokens);
+    endpoint_end_prefill(f->endpoint, f->info.prompt_tokens,
+                         f->waiting_tokens);
     f->waiting_tokens = 0;
 }
 
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -13,7 +13,7 @@
 forward_note_endpoint(forward_t *f, endpoint_outcome_t outcome)
 {
     if (f->endpoint != NULL) {
-        endpoint_note(f->endpoint, outcome, forward_now(f));
+        endpoint_record_outcome(f->endpoint, outcome, forward_now(f));
     }
 }
 
@@ -174,7 +174,7 @@
     counter_add(counter_get("answers_too_long_total", NULL, FALSE), 1);
     client_call_cancel(f->call);
     f->call = NULL;
-    forward_note_endpoint(f, ENDPOINT_BROKE);
+    forward_note_endpoint(f, ENDPOINT_BROKEN);
     f->runs++;
     forward_repeat(f, TRUE, reason);
 }
@@ -229,7 +229,7 @@
 finish_stream(forward_t *f)
 {
     if (!event_stream_at_boundary(&f->events)) {
-        forward_note_endpoint(f, ENDPOINT_BROKE);
+        forward_note_endpoint(f, ENDPOINT_BROKEN);
         f->runs++;
         forward_repeat(f, TRUE, "the stream ended within an event");
         return;
@@ -285,7 +285,7 @@
         return;
     }
     gboolean erred = f->status >= 500;
-    forward_note_endpoint(f, erred ? ENDPOINT_ERRED : ENDPOINT_SERVED);
+    forward_note_endpoint(f, erred ? ENDPOINT_SERVER_ERROR : ENDPOINT_SERVED);
     if (f->begun) {
         f->runs++;
         forward_repeat(f, TRUE, "a resumed stream was not taken up");
@@ -317,7 +317,7 @@
     gboolean arrived =
         failure != CALL_FAILED_UNSENT && failure != CALL_FAILED_REFUSED;
     forward_note_failure(f, failure);
-    forward_note_endpoint(f, arrived ? ENDPOINT_BROKE : ENDPOINT_UNREACHABLE);
+    forward_note_endpoint(f, arrived ? ENDPOINT_BROKEN : ENDPOINT_UNREACHABLE);
     f->runs += arrived;
     if (arrived) {
         forward_note_lost(f);
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -43,7 +43,7 @@
     if (f->heard && now - f->heard_us > RUN_LONG_US) {
         return RUN_LONG;
     }
-    return f->on_trial ? RUN_TRIED : RUN_BEGINNING;
+    return f->on_trial ? RUN_PROBE : RUN_BEGINNING;
 }
 
 /* How it stands at its endpoint, for whoever looks into that one's end. */
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -236,7 +236,7 @@
     g_strlcpy(f->last_endpoint, endpoint->id, sizeof(f->last_endpoint));
     f->heard = FALSE;
     f->found_running = endpoint_running(endpoint);
-    f->found_waiting = endpoint_waiting(endpoint);
+    f->found_waiting = endpoint_waiting_tokens(endpoint);
     f->waiting_tokens = placement->read_tokens;
     directory_join(f->entry->directory, endpoint, f->info.prompt_tokens,
                    f->waiting_tokens);
@@ -264,7 +264,7 @@
 forward_leave_silent(forward_t *f)
 {
     placement_request_t request;
-    forward_note_endpoint(f, ENDPOINT_BROKE);
+    forward_note_endpoint(f, ENDPOINT_BROKEN);
     if (place(f, &request).endpoint == NULL || !may_repeat(f) ||
         !take_repeat(f)) {
         f->stayed_us = forward_now(f);
@@ -314,7 +314,7 @@
     f->sent_us = forward_now(f);
     f->limit_sent_us = limit_link_now();
     if (f->call == NULL) {
-        endpoint_note(endpoint, ENDPOINT_FULL, forward_now(f));
+        endpoint_record_outcome(endpoint, ENDPOINT_FULL, forward_now(f));
         forward_repeat(f, FALSE, "no connection to the endpoint is free");
         return;
     }
--- a/carobloomd/process/policy_endpoints.c
+++ b/carobloomd/process/policy_endpoints.c
@@ -38,7 +38,7 @@
                  info->address, info->serves, (int)info->slots);
     }
     pool_endpoint_put(pool, info, policy_now_us());
-    scheduler_run(pool->scheduler, policy_now_us(), p->actions);
+    scheduler_grant(pool->scheduler, policy_now_us(), p->actions);
     policy_flush_actions(p, pool);
 }
 
--- a/carobloomd/process/policy_pool.c
+++ b/carobloomd/process/policy_pool.c
@@ -86,7 +86,7 @@
 void
 pool_endpoint_leave(pool_t *pool, guint64 id)
 {
-    endpoint_set_leave(scheduler_endpoints(pool->scheduler), id);
+    endpoint_set_remove(scheduler_endpoints(pool->scheduler), id);
     g_hash_table_remove(pool->endpoints, &id);
 }
 
@@ -102,8 +102,8 @@
         gint64 patience_ms =
             MISSED_INTERVALS * record->info.interval_ms + SLACK_MS;
         if (now_us - record->seen_us > patience_ms * 1000) {
-            endpoint_set_leave(scheduler_endpoints(pool->scheduler),
-                               record->id);
+            endpoint_set_remove(scheduler_endpoints(pool->scheduler),
+                                record->id);
             g_hash_table_iter_remove(&iter);
             gone++;
         }
--- a/carobloomd/request/attempt.c
+++ b/carobloomd/request/attempt.c
@@ -62,11 +62,11 @@
     a->ended = TRUE;
     log_write(LOG_PART_HTTP, LOG_WARN, r->name, "Attempt at %s broke: %s.",
               r->endpoint_address, why);
-    request_event(r, LIFE_EVENT_BROKEN);
+    request_event(r, LIFECYCLE_EVENT_BROKEN);
 }
 
 static void
-finish(attempt_t *a, life_event_t event)
+finish(attempt_t *a, lifecycle_event_t event)
 {
     if (a->request != NULL && !a->ended) {
         a->ended = TRUE;
@@ -132,11 +132,11 @@
     gboolean ended = a->ended;
     flush_batch(a);
     if (a->request != NULL && ended) {
-        request_event(a->request, LIFE_EVENT_END);
+        request_event(a->request, LIFECYCLE_EVENT_END);
     }
     else if (a->request != NULL && result != SSE_OK) {
-        fail(a, result == SSE_ERROR_LONG ? "an event is too long"
-                                         : "the answer is not its own");
+        fail(a, result == SSE_ERROR_TOO_LONG ? "an event is too long"
+                                             : "the answer is not its own");
     }
 }
 
@@ -175,7 +175,7 @@
         a->request->tokens = usage_tokens(a->request->answer);
         a->tokens = a->request->tokens;
     }
-    finish(a, LIFE_EVENT_END);
+    finish(a, LIFECYCLE_EVENT_END);
 }
 
 static void
@@ -239,7 +239,7 @@
     request_t *r = a->request;
     guint status = soup_message_get_status(a->message);
     if (a->protocol->refused(a->message)) {
-        finish(a, LIFE_EVENT_NOT_RUN);
+        finish(a, LIFECYCLE_EVENT_NOT_RUN);
         return;
     }
     if (!a->protocol->owns_head(a->message, a->id)) {
@@ -293,7 +293,7 @@
     (void)message;
     attempt_t *a = data;
     if (a->request != NULL) {
-        request_event(a->request, LIFE_EVENT_WRITING);
+        request_event(a->request, LIFECYCLE_EVENT_WRITING);
     }
 }
 
--- a/carobloomd/request/request.c
+++ b/carobloomd/request/request.c
@@ -17,7 +17,7 @@
 static const gint64 KEEP_ALIVE_US = 10 * G_USEC_PER_SEC;
 static const gint64 RUN_US = 3600 * (gint64)G_USEC_PER_SEC;
 
-static void execute(request_t *r, life_step_t step);
+static void execute(request_t *r, lifecycle_step_t step);
 
 /* ---- creation and end ---- */
 
@@ -224,8 +224,8 @@
         }
         send_bytes(r, raw);
     }
-    if (r->life.state == LIFE_SENT) {
-        request_event(r, LIFE_EVENT_PART);
+    if (r->life.state == LIFECYCLE_SENT) {
+        request_event(r, LIFECYCLE_EVENT_PART);
     }
 }
 
@@ -404,53 +404,55 @@
 }
 
 static void
-execute_one(request_t *r, life_command_t command)
+execute_one(request_t *r, lifecycle_command_t command)
 {
     switch (command) {
-    case LIFE_COMMAND_CLAIM:
+    case LIFECYCLE_COMMAND_CLAIM:
         task_send(r->http->process->voter, claim_message(r, VOTER_CLAIM));
         break;
-    case LIFE_COMMAND_SUBMIT:
+    case LIFECYCLE_COMMAND_SUBMIT:
         g_clear_pointer(&r->attempt, attempt_destroy);
         command_submit(r);
         break;
-    case LIFE_COMMAND_WITHDRAW:
+    case LIFECYCLE_COMMAND_WITHDRAW:
         send_settle(r, POLICY_WITHDRAW, SETTLE_CANCELLED);
         break;
-    case LIFE_COMMAND_SETTLE_COMPLETE:
+    case LIFECYCLE_COMMAND_SETTLE_COMPLETE:
         send_settle(r, POLICY_SETTLE, SETTLE_COMPLETE);
         break;
-    case LIFE_COMMAND_SETTLE_FAILED:
+    case LIFECYCLE_COMMAND_SETTLE_FAILED:
         send_settle(r, POLICY_SETTLE, SETTLE_FAILED);
         break;
-    case LIFE_COMMAND_SETTLE_CANCELLED:
+    case LIFECYCLE_COMMAND_SETTLE_CANCELLED:
         send_settle(r, POLICY_SETTLE, SETTLE_CANCELLED);
         break;
-    case LIFE_COMMAND_RELEASE:
+    case LIFECYCLE_COMMAND_RELEASE:
         task_send(r->http->process->voter, claim_message(r, VOTER_FINISH));
         break;
-    case LIFE_COMMAND_KEEP:
+    case LIFECYCLE_COMMAND_KEEP:
         command_keep(r);
         break;
-    case LIFE_COMMAND_ANSWER:
+    case LIFECYCLE_COMMAND_ANSWER:
         g_clear_pointer(&r->attempt, attempt_destroy);
         command_answer(r);
         break;
-    case LIFE_COMMAND_DETACH:
+    case LIFECYCLE_COMMAND_DETACH:
         command_detach(r);
         break;
-    case LIFE_COMMAND_DISPATCH: /* carried out with its decision */
-    case LIFE_COMMAND_ABORT:    /* by the submit or answer that follows, since
-                                 * settling reads the attempt's speed */
-    case LIFE_COMMAND_NONE:
+    case LIFECYCLE_COMMAND_DISPATCH: /* carried out with its decision */
+    case LIFECYCLE_COMMAND_ABORT:    /* by the submit or answer that follows,
+                                      * since    settling reads the attempt's
+                                      * speed
+                                      */
+    case LIFECYCLE_COMMAND_NONE:
         break;
     }
 }
 
 static void
-execute(request_t *r, life_step_t step)
+execute(request_t *r, lifecycle_step_t step)
 {
-    for (int i = 0; i < LIFE_COMMANDS_MAX; i++) {
+    for (int i = 0; i < LIFECYCLE_COMMANDS_MAX; i++) {
         execute_one(r, step.commands[i]);
     }
     if (r->finished && r->message == NULL) {
@@ -460,26 +462,26 @@
 
 /* Whether an event may use up a retry. */
 static gboolean
-event_retries(life_event_t event)
+event_retries(lifecycle_event_t event)
 {
-    return event == LIFE_EVENT_BROKEN || event == LIFE_EVENT_NOT_RUN;
+    return event == LIFECYCLE_EVENT_BROKEN || event == LIFECYCLE_EVENT_NOT_RUN;
 }
 
 void
-request_event(request_t *r, life_event_t event)
+request_event(request_t *r, lifecycle_event_t event)
 {
     r->life.retry_allowed = FALSE;
     if (event_retries(event) && r->life.attempts < r->life.attempts_max) {
         r->life.retry_allowed = retry_budget_take(budget_of(r));
     }
-    execute(r, life_apply(&r->life, event));
+    execute(r, lifecycle_apply(&r->life, event));
 }
 
 void
 request_granted(request_t *r, const decision_message_t *decision)
 {
-    life_step_t step = life_apply(&r->life, LIFE_EVENT_GRANT);
-    if (step.commands[0] == LIFE_COMMAND_DISPATCH) {
+    lifecycle_step_t step = lifecycle_apply(&r->life, LIFECYCLE_EVENT_GRANT);
+    if (step.commands[0] == LIFECYCLE_COMMAND_DISPATCH) {
         command_dispatch(r, decision);
     }
 }
@@ -489,19 +491,19 @@
 {
     r->reason = decision->reason;
     r->retry_after_us = decision->retry_after_us;
-    request_event(r, LIFE_EVENT_REFUSE);
+    request_event(r, LIFECYCLE_EVENT_REFUSE);
 }
 
 void
 request_preempted(request_t *r)
 {
-    life_state_t before = r->life.state;
+    lifecycle_state_t before = r->life.state;
     r->avoid = 0;
-    if (before == LIFE_QUEUED) {
+    if (before == LIFECYCLE_QUEUED) {
         return; /* preempted before its grant came: nothing runs */
     }
     r->preemptions++;
-    request_event(r, LIFE_EVENT_PREEMPT);
+    request_event(r, LIFECYCLE_EVENT_PREEMPT);
 }
 
 static void
@@ -518,7 +520,7 @@
     soup_message_headers_replace(
         soup_server_message_get_response_headers(r->message),
         "Carobloom-Replayed", "true");
-    r->life.state = LIFE_DONE;
+    r->life.state = LIFECYCLE_DONE;
     r->life.outcome = OUTCOME_COMPLETE;
     command_answer(r);
 }
@@ -526,7 +528,7 @@
 void
 request_claimed(request_t *r, const claimed_message_t *claimed)
 {
-    if (r->life.state != LIFE_CLAIMING) {
+    if (r->life.state != LIFECYCLE_CLAIMING) {
         return;
     }
     static const char *const texts[] = {
@@ -541,7 +543,7 @@
         [CLAIM_FULL] = "As many claims are kept as may be; nothing was run.",
     };
     if (claimed->state == CLAIM_WON) {
-        request_event(r, LIFE_EVENT_CLAIM_WON);
+        request_event(r, LIFECYCLE_EVENT_CLAIM_WON);
         return;
     }
     if (claimed->state == CLAIM_ANSWERED && claimed->answer && r->message) {
@@ -554,7 +556,8 @@
     if (claimed->state == CLAIM_HELD) {
         r->retry_after_us = G_USEC_PER_SEC;
     }
-    request_event(r, failed ? LIFE_EVENT_CLAIM_FAILED : LIFE_EVENT_CLAIM_LOST);
+    request_event(r, failed ? LIFECYCLE_EVENT_CLAIM_FAILED
+                            : LIFECYCLE_EVENT_CLAIM_LOST);
 }
 
 /* ---- the caller leaves ---- */
@@ -579,7 +582,7 @@
         return;
     }
     counter_add(counter_get("callers_left_total", NULL, FALSE), 1);
-    request_event(r, LIFE_EVENT_CALLER_LEFT);
+    request_event(r, LIFECYCLE_EVENT_CALLER_LEFT);
 }
 
 void
@@ -620,7 +623,7 @@
 {
     request_t *r = data;
     r->expiry = 0;
-    request_event(r, LIFE_EVENT_EXPIRED);
+    request_event(r, LIFECYCLE_EVENT_EXPIRED);
 }
 
 /* FALSE when the team's limits refuse the request. */
@@ -635,7 +638,7 @@
     if (wait_us == 0 && !full) {
         return TRUE;
     }
-    r->life.state = LIFE_DONE;
+    r->life.state = LIFECYCLE_DONE;
     r->life.outcome = OUTCOME_NOT_RUN;
     r->finished = TRUE;
     count_outcome(r);
@@ -693,7 +696,7 @@
     r->expiry = timers_subscribe(task_timers(http->task),
                                  class_info->deadline_ms * 1000 + RUN_US, 0,
                                  on_expired, r);
-    request_event(r, LIFE_EVENT_ADMIT);
+    request_event(r, LIFECYCLE_EVENT_ADMIT);
 }
 
 void
@@ -712,7 +715,7 @@
     return json_pack(
         "{s:s, s:s, s:s, s:s, s:s, s:i, s:i, s:I, s:s*}", "request", r->name,
         "class", r->class_info->name, "team", r->team->name, "pool", r->pool,
-        "state", life_state_name(r->life.state), "attempts",
+        "state", lifecycle_state_name(r->life.state), "attempts",
         (int)r->life.attempts, "tokens", (int)r->tokens, "age_ms",
         (json_int_t)((g_get_monotonic_time() - r->arrived_us) / 1000),
         "endpoint", r->endpoint_address);
--- a/carobloomd/version/document.c
+++ b/carobloomd/version/document.c
@@ -326,7 +326,7 @@
         const document_class_t *c = document_class(d, i);
         d->specs[i] = (class_spec_t){
             .tier = (int)c->tier,
-            .least_share = c->least_share,
+            .min_share = c->least_share,
             .weight = c->weight,
             .first_token_us = c->first_token_ms * 1000,
             .between_tokens_us = c->between_tokens_ms * 1000,
--- a/include/carobloom/policy/class.h
+++ b/include/carobloom/policy/class.h
@@ -9,7 +9,7 @@
 /* One class. Times are in microseconds; tier 0 is the most urgent. */
 typedef struct {
     int tier;
-    double least_share;       /* of the pool's slots, 0 to 0.5 */
+    double min_share;         /* of the pool's slots, 0 to 0.5 */
     double weight;            /* against other classes of the tier */
     gint64 first_token_us;    /* latency target */
     gint64 between_tokens_us; /* latency target */
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -96,7 +96,7 @@
 /* Endpoints looked at so far for the loads: what they cost this instance. */
 guint64 directory_visits(const directory_t *directory);
 /* A request of this instance goes to an endpoint, and is over there; see
- * endpoint_join and endpoint_leave. */
+ * endpoint_add_request and endpoint_remove_request. */
 void directory_join(directory_t *directory, endpoint_t *endpoint,
                     guint prompt_tokens, guint waiting_tokens);
 void directory_leave(directory_t *directory, endpoint_t *endpoint,
--- a/include/carobloom/policy/endpoint.h
+++ b/include/carobloom/policy/endpoint.h
@@ -10,11 +10,11 @@
 /* How a request at an endpoint went, for its health. */
 typedef enum {
     ENDPOINT_SERVED,
-    ENDPOINT_ERRED,       /* its own 5xx */
-    ENDPOINT_FULL,        /* refused, not run */
-    ENDPOINT_BROKE,       /* reset, cut, no HTTP, or silent */
-    ENDPOINT_UNREACHABLE, /* no connection */
-    ENDPOINT_MISDIRECTED, /* another one has the address */
+    ENDPOINT_SERVER_ERROR, /* its own 5xx */
+    ENDPOINT_FULL,         /* refused, not run */
+    ENDPOINT_BROKEN,       /* reset, cut, no HTTP, or silent */
+    ENDPOINT_UNREACHABLE,  /* no connection */
+    ENDPOINT_MISDIRECTED,  /* another one has the address */
 } endpoint_outcome_t;
 
 /* One endpoint, with what this instance knows of its load and health. */
@@ -29,22 +29,22 @@
     gboolean draining;
     gboolean left;
     gboolean reclaimable;
-    gint64 lends_until_us;   /* it drains; its memory is there until then */
-    guint32 heard_by;        /* sources that hear its renewals */
-    gint64 trusted_until_us; /* though no source hears it just now */
+    gint64 fetchable_until_us;  /* it drains; its memory is there until then */
+    guint32 reported_by;        /* sources that hear its renewals */
+    gint64 unreported_until_us; /* though no source hears it just now */
     gint64 cold_until_us;
     /* this instance's own requests there */
-    gint64 served_us; /* when one was last answered there; 0: never */
+    gint64 last_served_us; /* when one was last answered there; 0: never */
     guint running;
     guint32 waiting_tokens; /* that they wait for to be read */
     guint32 prompt_tokens;  /* of all these requests' whole prompts */
     guint long_running;     /* of them, those with long prompts */
     guint32 long_waiting;
-    endpoint_load_t others; /* of the other entry instances, as last told */
-    gboolean told;          /* they were told of */
+    endpoint_load_t others;   /* of the other entry instances, as last told */
+    gboolean has_others_load; /* they were told of */
     /* health */
-    double failures;        /* decaying share of failed requests */
-    gint64 closed_until_us; /* gets nothing until then */
+    double failures;         /* decaying share of failed requests */
+    gint64 backoff_until_us; /* gets nothing until then */
     gint64 backoff_us;
     gint64 full_until_us;
     gint64 full_backoff_us;
@@ -56,26 +56,26 @@
 /* Whether it may be sent new work at all. */
 gboolean endpoint_usable(const endpoint_t *endpoint, gint64 now_us);
 /* Whether it drains, but others can still fetch from its memory. */
-gboolean endpoint_lends(const endpoint_t *endpoint, gint64 now_us);
+gboolean endpoint_fetchable(const endpoint_t *endpoint, gint64 now_us);
 /* Requests of all instances there, as far as told; prompt tokens that wait to
  * be read for them. */
 guint endpoint_running(const endpoint_t *endpoint);
-guint endpoint_waiting(const endpoint_t *endpoint);
+guint endpoint_waiting_tokens(const endpoint_t *endpoint);
 /* Whether this instance most likely has an open connection to it. */
 gboolean endpoint_connected(const endpoint_t *endpoint, gint64 now_us);
 /* One of this instance's requests goes there, `waiting_tokens` of whose prompt
  * have to be read. */
-void endpoint_join(endpoint_t *endpoint, guint prompt_tokens,
-                   guint waiting_tokens);
+void endpoint_add_request(endpoint_t *endpoint, guint prompt_tokens,
+                          guint waiting_tokens);
 /* Its prompt is read. */
-void endpoint_end_wait(endpoint_t *endpoint, guint prompt_tokens,
-                       guint waiting_tokens);
+void endpoint_end_prefill(endpoint_t *endpoint, guint prompt_tokens,
+                          guint waiting_tokens);
 /* It is over there. */
-void endpoint_leave(endpoint_t *endpoint, guint prompt_tokens);
+void endpoint_remove_request(endpoint_t *endpoint, guint prompt_tokens);
 /* Whether its health lets it take work just now. */
-gboolean endpoint_open(const endpoint_t *endpoint, gint64 now_us);
-void endpoint_note(endpoint_t *endpoint, endpoint_outcome_t outcome,
-                   gint64 now_us);
+gboolean endpoint_available(const endpoint_t *endpoint, gint64 now_us);
+void endpoint_record_outcome(endpoint_t *endpoint, endpoint_outcome_t outcome,
+                             gint64 now_us);
 gboolean endpoint_has_part(const endpoint_t *endpoint, guint64 part);
 
 #endif
--- a/include/carobloom/policy/endpoint_end.h
+++ b/include/carobloom/policy/endpoint_end.h
@@ -14,25 +14,25 @@
     RUN_BEGINNING, /* just begun, waiting, or not known */
     RUN_LONG,      /* answered for a while by then */
     RUN_ANSWERED,  /* the same request was answered whole shortly before */
-    RUN_TRIED,     /* just begun, and sent on trial: see quarantine.h */
-    RUN_STAGES,
+    RUN_PROBE,     /* just begun, and sent on trial: see quarantine.h */
+    RUN_STAGE_COUNT,
 } run_stage_t;
 
 typedef struct {
     guint64 fingerprint;
     run_stage_t stage;
-} cut_run_t;
+} interrupted_run_t;
 
 typedef struct {
     char *endpoint;    /* its id */
     gint64 started_ms; /* which start of it; 0 where not said */
-    GArray *runs;      /* cut_run_t, each fingerprint once */
+    GArray *runs;      /* interrupted_run_t, each fingerprint once */
 } endpoint_end_t;
 
 void endpoint_end_init(endpoint_end_t *end, const char *endpoint,
                        gint64 started_ms);
 void endpoint_end_clear(endpoint_end_t *end);
 /* Adds a run unless its fingerprint is there. FALSE when it was. */
-gboolean endpoint_end_add(endpoint_end_t *end, cut_run_t run);
+gboolean endpoint_end_add(endpoint_end_t *end, interrupted_run_t run);
 
 #endif
--- a/include/carobloom/policy/endpoint_set.h
+++ b/include/carobloom/policy/endpoint_set.h
@@ -12,7 +12,7 @@
 
 enum {
     ENDPOINT_HISTORY = 32,
-    ENDPOINT_PREFIXES = 65536, /* prefixes remembered a pool */
+    ENDPOINT_SET_PREFIXES_MAX = 65536, /* prefixes remembered a pool */
 };
 
 typedef enum {
@@ -41,7 +41,7 @@
     guint failures; /* in a row */
     gint64 probe_at_us;
     gint64 backoff_us;
-    gint64 report_us; /* when the last report was taken */
+    gint64 last_report_us; /* when the last report was taken */
     endpoint_sample_t history[ENDPOINT_HISTORY];
     guint history_next;
 } endpoint_state_t;
@@ -55,7 +55,7 @@
 void endpoint_set_put(endpoint_set_t *set, guint64 id, guint slots,
                       gint64 now_us);
 /* Nothing new is granted; the entry goes when nothing is in flight. */
-void endpoint_set_leave(endpoint_set_t *set, guint64 id);
+void endpoint_set_remove(endpoint_set_t *set, guint64 id);
 /* A load report taken at `at_us`: streams running and waiting, and the time
  * a token of one stream takes (0 when unknown). */
 void endpoint_set_report(endpoint_set_t *set, guint64 id, guint busy,
@@ -64,22 +64,23 @@
 void endpoint_set_prefix(endpoint_set_t *set, guint64 prefix, guint64 id,
                          gboolean present);
 
-/* Chooses where a request goes; NULL when nothing is free. `sound` leaves out
- * stragglers and those being probed. `avoid` is an endpoint just tried (0 for
- * none); `prefill_us` is what a cached prefix would save and `tokens` the
- * length expected. */
-endpoint_state_t *endpoint_set_choose(endpoint_set_t *set, gboolean sound,
-                                      guint64 prefix, guint64 avoid,
-                                      double prefill_us, double tokens);
-void endpoint_set_taken(endpoint_set_t *set, endpoint_state_t *endpoint,
-                        guint64 prefix, gint64 now_us);
+/* Chooses where a request goes; NULL when nothing is free. `healthy_only`
+ * leaves out stragglers and those being probed. `avoid` is an endpoint just
+ * tried (0 for none); `prefill_us` is what a cached prefix would save and
+ * `tokens` the length expected. */
+endpoint_state_t *endpoint_set_choose(endpoint_set_t *set,
+                                      gboolean healthy_only, guint64 prefix,
+                                      guint64 avoid, double prefill_us,
+                                      double tokens);
+void endpoint_set_acquire(endpoint_set_t *set, endpoint_state_t *endpoint,
+                          guint64 prefix, gint64 now_us);
 /* One piece of work ended. `token_us` is 0 when not known. */
-void endpoint_set_done(endpoint_set_t *set, guint64 id, gboolean failed,
-                       double token_us, gint64 now_us);
+void endpoint_set_release(endpoint_set_t *set, guint64 id, gboolean failed,
+                          double token_us, gint64 now_us);
 /* Reconsiders health: stragglers, ejections, probes. */
-void endpoint_set_review(endpoint_set_t *set, gint64 now_us);
+void endpoint_set_update_health(endpoint_set_t *set, gint64 now_us);
 
-guint endpoint_set_free(const endpoint_set_t *set, gboolean sound);
+guint endpoint_set_free(const endpoint_set_t *set, gboolean healthy_only);
 guint endpoint_set_slots(const endpoint_set_t *set);
 guint endpoint_set_count(const endpoint_set_t *set);
 const endpoint_state_t *endpoint_set_find(const endpoint_set_t *set,
--- a/include/carobloom/policy/queue.h
+++ b/include/carobloom/policy/queue.h
@@ -1,5 +1,5 @@
-/* The tickets of one class that wait: teams in weighted fair order, and all
- * of them in order of arrival. */
+/* The tickets of one class that wait: teams in weighted fair by_arrival, and
+ * all of them in by_arrival of arrival. */
 #ifndef CAROBLOOM_POLICY_QUEUE_H
 #define CAROBLOOM_POLICY_QUEUE_H
 
@@ -23,8 +23,8 @@
     double expected_tokens;
     double service_us; /* expected time in a slot */
     guint64 endpoint;
-    GList in_class; /* in the class's waiting or running list */
-    GList in_team;
+    GList class_link; /* in the class's waiting or running list */
+    GList team_link;
     struct team_queue *team;
 } job_t;
 
@@ -32,7 +32,7 @@
 typedef struct {
     GHashTable *teams; /* team hash -> team_queue_t, only those waiting */
     heap_t heap;
-    GQueue order; /* job_t by arrival */
+    GQueue by_arrival; /* job_t by arrival */
     double virtual_time;
     double service_us; /* sum over all that wait */
 } queue_t;
@@ -41,10 +41,10 @@
 void queue_clear(queue_t *queue);
 void queue_push(queue_t *queue, job_t *job);
 void queue_remove(queue_t *queue, job_t *job);
-/* The job next in fair order; it stays in the queue. */
+/* The job next in fair by_arrival; it stays in the queue. */
 job_t *queue_peek(const queue_t *queue);
 /* Tells the queue that `job`, just removed, was served. */
-void queue_served(queue_t *queue, const job_t *job);
+void queue_charge(queue_t *queue, const job_t *job);
 job_t *queue_oldest(const queue_t *queue);
 
 #endif
--- a/include/carobloom/policy/registry.h
+++ b/include/carobloom/policy/registry.h
@@ -8,10 +8,10 @@
 #include "carobloom/policy/directory.h"
 
 typedef enum {
-    REGISTRY_TAKEN,
-    REGISTRY_LATE, /* an older call that came late; nothing changed */
-    REGISTRY_GONE, /* this start of it has left */
-    REGISTRY_PAST, /* of a start before the one that is known */
+    REGISTRY_ACCEPTED,
+    REGISTRY_STALE, /* an older call that came late; nothing changed */
+    REGISTRY_LEFT,  /* this start of it has left */
+    REGISTRY_OLD_INCARNATION, /* of a start before the one that is known */
 } registry_result_t;
 
 typedef struct registry registry_t;
@@ -28,10 +28,10 @@
 gboolean registry_expire(registry_t *registry, gint64 now_us);
 /* Raised with each change. */
 guint64 registry_cursor(const registry_t *registry);
-/* Copies of the `most` leases that changed first after `cursor`, or of all for
- * 0. `through` becomes the cursor up to which they are told. */
-GPtrArray *registry_since(const registry_t *registry, guint64 cursor,
-                          guint most, guint64 *through);
+/* Copies of the `max_count` leases that changed first after `cursor`, or of
+ * all for 0. `through` becomes the cursor up to which they are told. */
+GPtrArray *registry_changes_since(const registry_t *registry, guint64 cursor,
+                                  guint max_count, guint64 *through);
 guint registry_count(const registry_t *registry);
 
 #endif
--- a/include/carobloom/policy/scheduler.h
+++ b/include/carobloom/policy/scheduler.h
@@ -111,7 +111,7 @@
 /* Expiry, health, headroom; call it every 100 ms or so. */
 void scheduler_tick(scheduler_t *scheduler, gint64 now_us, GArray *actions);
 /* Grants what can be granted; for after endpoints changed. */
-void scheduler_run(scheduler_t *scheduler, gint64 now_us, GArray *actions);
+void scheduler_grant(scheduler_t *scheduler, gint64 now_us, GArray *actions);
 /* Forgets every ticket of one entry (the id's upper half), which died. */
 void scheduler_drop_entry(scheduler_t *scheduler, guint32 entry, gint64 now_us,
                           GArray *actions);
@@ -129,8 +129,8 @@
 const class_stats_t *scheduler_stats(const scheduler_t *scheduler,
                                      guint class_index);
 /* Length at quantile `q` learnt for a class and team, in tokens. */
-double scheduler_length(const scheduler_t *scheduler, guint class_index,
-                        guint64 team, double q);
+double scheduler_length_quantile(const scheduler_t *scheduler,
+                                 guint class_index, guint64 team, double q);
 /* The wait a new ticket of that class would see now. */
 gint64 scheduler_expected_wait(const scheduler_t *scheduler,
                                guint class_index);
--- a/include/carobloom/policy/sse.h
+++ b/include/carobloom/policy/sse.h
@@ -13,8 +13,8 @@
 
 enum {
     SSE_OK = 0,
-    SSE_ERROR_LONG = -1, /* an event is over SSE_EVENT_MAX */
-    SSE_ERROR_STOP = -2, /* the callback asked to stop */
+    SSE_ERROR_TOO_LONG = -1, /* an event is over SSE_EVENT_MAX */
+    SSE_ERROR_STOPPED = -2,  /* the callback asked to stop */
 };
 
 typedef struct {
--- a/include/carobloom/request/request.h
+++ b/include/carobloom/request/request.h
@@ -20,7 +20,7 @@
     http_t *http;
     guint64 id;    /* also its ticket */
     char name[20]; /* the id as text, in logs and headers */
-    life_t life;
+    lifecycle_t life;
     document_t *document;
     const document_class_t *class_info;
     guint class_index;
@@ -86,7 +86,7 @@
 /* Its caller closed the connection; for hangups_create. */
 void request_hung_up(void *data);
 /* Events from its attempt. */
-void request_event(request_t *request, life_event_t event);
+void request_event(request_t *request, lifecycle_event_t event);
 /* A part of a stream for the caller; `text` is what it says. */
 void request_part(request_t *request, str_t raw, str_t text, guint tokens);
 /* The attempt may read on: the caller keeps up. */
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -386,7 +386,8 @@
 }
 
 static void
-note_run(crash_ledger_t *l, end_record_t *end, cut_run_t run, gint64 now_us)
+note_run(crash_ledger_t *l, end_record_t *end, interrupted_run_t run,
+         gint64 now_us)
 {
     suspect_t *s = suspect_need(l, run.fingerprint);
     gboolean full = end->fingerprints->len >= END_REQUESTS_MAX;
@@ -405,7 +406,7 @@
     if (s->held_us != 0 && end->cause == 0) {
         end->cause = s->fingerprint; /* sent before all knew, or on trial */
     }
-    if (s->doubted && run.stage == RUN_TRIED) {
+    if (s->doubted && run.stage == RUN_PROBE) {
         s->cuts++;
     }
     if (s->doubted && s->cuts >= SURE_CUTS) {
@@ -420,7 +421,8 @@
 {
     end_record_t *end = end_need(l, told, now_us);
     for (guint i = 0; i < told->runs->len; i++) {
-        cut_run_t run = g_array_index(told->runs, cut_run_t, i);
+        interrupted_run_t run =
+            g_array_index(told->runs, interrupted_run_t, i);
         if (run.stage == RUN_ANSWERED) {
             crash_ledger_note_answered(l, run.fingerprint, now_us);
             continue;
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -236,8 +236,8 @@
     g_ptr_array_add(d->gone, e);
     list_remove(service_list(d, e->service), e);
     g_ptr_array_remove_fast(d->limits, e);
-    if (e->told) {
-        e->told = FALSE;
+    if (e->has_others_load) {
+        e->has_others_load = FALSE;
         g_ptr_array_remove_fast(d->told, e);
     }
     if (g_hash_table_lookup(d->by_address, e->address) == e) {
@@ -263,11 +263,11 @@
 {
     endpoint_t *before = g_hash_table_lookup(d->by_address, e->address);
     if (before != NULL && before->started_ms > e->started_ms) {
-        e->closed_until_us = now_us + TRUST_US;
+        e->backoff_until_us = now_us + TRUST_US;
         return;
     }
     if (before != NULL) {
-        before->closed_until_us = now_us + TRUST_US;
+        before->backoff_until_us = now_us + TRUST_US;
     }
     g_hash_table_replace(d->by_address, e->address, e);
 }
@@ -315,7 +315,7 @@
     gint64 stays_us =
         lease->leaves_ms > 0 ? lease->leaves_ms * 1000 : DRAINS_US;
     e->draining = TRUE;
-    e->lends_until_us = now_us + stays_us - LEND_MARGIN_US;
+    e->fetchable_until_us = now_us + stays_us - LEND_MARGIN_US;
 }
 
 void
@@ -347,10 +347,10 @@
         e = endpoint_add(d, lease, now_us);
     }
     if (lease->state == LEASE_SILENT) {
-        e->heard_by &= ~(1u << source);
+        e->reported_by &= ~(1u << source);
         return;
     }
-    e->heard_by |= 1u << source;
+    e->reported_by |= 1u << source;
     note_draining(e, lease, now_us);
     e->slots = lease->slots;
     e->reclaimable = lease->reclaimable;
@@ -367,9 +367,9 @@
     g_hash_table_iter_init(&iter, d->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         endpoint_t *e = value;
-        if (e->heard_by & 1u << source) {
-            e->heard_by &= ~(1u << source);
-            e->trusted_until_us = now_us + TRUST_US;
+        if (e->reported_by & 1u << source) {
+            e->reported_by &= ~(1u << source);
+            e->unreported_until_us = now_us + TRUST_US;
         }
     }
 }
@@ -452,14 +452,14 @@
 directory_join(directory_t *d, endpoint_t *e, guint prompt_tokens,
                guint waiting_tokens)
 {
-    endpoint_join(e, prompt_tokens, waiting_tokens);
+    endpoint_add_request(e, prompt_tokens, waiting_tokens);
     g_hash_table_add(d->busy, e);
 }
 
 void
 directory_leave(directory_t *d, endpoint_t *e, guint prompt_tokens)
 {
-    endpoint_leave(e, prompt_tokens);
+    endpoint_remove_request(e, prompt_tokens);
     if (e->running == 0) {
         g_hash_table_remove(d->busy, e);
     }
@@ -595,7 +595,7 @@
     for (guint i = 0; i < d->told->len; i++) {
         endpoint_t *e = d->told->pdata[i];
         e->others = (endpoint_load_t){0};
-        e->told = FALSE;
+        e->has_others_load = FALSE;
     }
     g_ptr_array_set_size(d->told, 0);
 }
@@ -609,9 +609,9 @@
     for (guint i = 0; i < sums->len; i++) {
         const endpoint_load_t *sum = &g_array_index(sums, endpoint_load_t, i);
         endpoint_t *e = find_hash(d, sum->endpoint);
-        if (e != NULL && !e->told) {
+        if (e != NULL && !e->has_others_load) {
             e->others = load_less(*sum, load_in(mine, sum->endpoint));
-            e->told = TRUE;
+            e->has_others_load = TRUE;
             g_ptr_array_add(d->told, e);
         }
     }
@@ -677,7 +677,7 @@
 demand_add(split_demand_t *demand, const endpoint_t *e)
 {
     guint running = endpoint_running(e);
-    guint waiting = endpoint_waiting(e);
+    guint waiting = endpoint_waiting_tokens(e);
     guint long_running = e->long_running + e->others.long_running;
     guint long_waiting = e->long_waiting + e->others.long_waiting;
     demand->of_long.running += long_running;
@@ -709,7 +709,7 @@
     g_hash_table_iter_init(&iter, d->busy);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const endpoint_t *e = key;
-        if (!e->told && is_of(e, name)) {
+        if (!e->has_others_load && is_of(e, name)) {
             demand_add(&demand, e);
         }
     }
--- a/policy/endpoint.c
+++ b/policy/endpoint.c
@@ -4,15 +4,15 @@
 
 enum {
     SECOND_US = 1000 * 1000,
-    BACKOFF_FIRST_US = 300 * 1000,
-    BACKOFF_MOST_US = 4 * SECOND_US,
+    BACKOFF_MIN_US = 300 * 1000,
+    BACKOFF_MAX_US = 4 * SECOND_US,
     /* A refusal says that its queue is full; it drains a few requests in such
      * a time. */
-    FULL_FIRST_US = 100 * 1000,
-    FULL_MOST_US = 3 * SECOND_US,
-    MISDIRECTED_US = 30 * SECOND_US,
+    FULL_BACKOFF_MIN_US = 100 * 1000,
+    FULL_BACKOFF_MAX_US = 3 * SECOND_US,
+    MISDIRECTED_BACKOFF_US = 30 * SECOND_US,
     /* Endpoints close connections that rest; few do within so long. */
-    CONNECTED_US = 4 * SECOND_US,
+    IDLE_CONNECTION_US = 4 * SECOND_US,
 };
 
 /* The weight of the newest request in the share of failures: about the last
@@ -23,25 +23,26 @@
 endpoint_usable(const endpoint_t *e, gint64 now_us)
 {
     return !e->left && !e->draining &&
-           (e->heard_by != 0 || now_us < e->trusted_until_us);
+           (e->reported_by != 0 || now_us < e->unreported_until_us);
 }
 
 gboolean
-endpoint_lends(const endpoint_t *e, gint64 now_us)
+endpoint_fetchable(const endpoint_t *e, gint64 now_us)
 {
-    return e->draining && !e->left && now_us < e->lends_until_us;
+    return e->draining && !e->left && now_us < e->fetchable_until_us;
 }
 
 gboolean
-endpoint_open(const endpoint_t *e, gint64 now_us)
+endpoint_available(const endpoint_t *e, gint64 now_us)
 {
-    return now_us >= e->closed_until_us && now_us >= e->full_until_us;
+    return now_us >= e->backoff_until_us && now_us >= e->full_until_us;
 }
 
 gboolean
 endpoint_connected(const endpoint_t *e, gint64 now_us)
 {
-    return e->served_us != 0 && now_us - e->served_us < CONNECTED_US;
+    return e->last_served_us != 0 &&
+           now_us - e->last_served_us < IDLE_CONNECTION_US;
 }
 
 guint
@@ -51,13 +52,13 @@
 }
 
 guint
-endpoint_waiting(const endpoint_t *e)
+endpoint_waiting_tokens(const endpoint_t *e)
 {
     return e->waiting_tokens + e->others.waiting_tokens;
 }
 
 void
-endpoint_join(endpoint_t *e, guint prompt_tokens, guint waiting_tokens)
+endpoint_add_request(endpoint_t *e, guint prompt_tokens, guint waiting_tokens)
 {
     e->running++;
     e->prompt_tokens += prompt_tokens;
@@ -69,7 +70,7 @@
 }
 
 void
-endpoint_end_wait(endpoint_t *e, guint prompt_tokens, guint waiting_tokens)
+endpoint_end_prefill(endpoint_t *e, guint prompt_tokens, guint waiting_tokens)
 {
     e->waiting_tokens -= MIN(e->waiting_tokens, waiting_tokens);
     if (prompt_is_long(prompt_tokens)) {
@@ -78,7 +79,7 @@
 }
 
 void
-endpoint_leave(endpoint_t *e, guint prompt_tokens)
+endpoint_remove_request(endpoint_t *e, guint prompt_tokens)
 {
     e->running--;
     e->prompt_tokens -= prompt_tokens;
@@ -87,49 +88,51 @@
 
 /* Twice as long for each failure in a row. */
 static void
-endpoint_close(endpoint_t *e, gint64 now_us)
+endpoint_back_off(endpoint_t *e, gint64 now_us)
 {
-    if (now_us < e->closed_until_us) {
+    if (now_us < e->backoff_until_us) {
         return;
     }
     e->backoff_us = e->backoff_us == 0
-                        ? BACKOFF_FIRST_US
-                        : MIN(e->backoff_us * 2, BACKOFF_MOST_US);
-    e->closed_until_us = now_us + e->backoff_us;
+                        ? BACKOFF_MIN_US
+                        : MIN(e->backoff_us * 2, BACKOFF_MAX_US);
+    e->backoff_until_us = now_us + e->backoff_us;
 }
 
 void
-endpoint_note(endpoint_t *e, endpoint_outcome_t outcome, gint64 now_us)
+endpoint_record_outcome(endpoint_t *e, endpoint_outcome_t outcome,
+                        gint64 now_us)
 {
-    gboolean failed = outcome == ENDPOINT_BROKE || outcome == ENDPOINT_ERRED ||
+    gboolean failed = outcome == ENDPOINT_BROKEN ||
+                      outcome == ENDPOINT_SERVER_ERROR ||
                       outcome == ENDPOINT_UNREACHABLE;
     if (outcome != ENDPOINT_FULL && outcome != ENDPOINT_MISDIRECTED) {
         e->failures += FAILURE_WEIGHT * ((failed ? 1.0 : 0.0) - e->failures);
     }
     switch (outcome) {
     case ENDPOINT_SERVED:
-        e->served_us = now_us;
+        e->last_served_us = now_us;
         e->backoff_us = 0;
         e->full_backoff_us = 0;
         break;
     case ENDPOINT_FULL:
         /* One that refuses all looks idle: it must not draw all requests. */
-        e->full_backoff_us =
-            CLAMP(e->full_backoff_us * 2, FULL_FIRST_US, FULL_MOST_US);
+        e->full_backoff_us = CLAMP(e->full_backoff_us * 2, FULL_BACKOFF_MIN_US,
+                                   FULL_BACKOFF_MAX_US);
         e->full_until_us = now_us + e->full_backoff_us;
         break;
     case ENDPOINT_MISDIRECTED:
-        e->closed_until_us = now_us + MISDIRECTED_US;
+        e->backoff_until_us = now_us + MISDIRECTED_BACKOFF_US;
         break;
     case ENDPOINT_UNREACHABLE:
-        endpoint_close(e, now_us);
+        endpoint_back_off(e, now_us);
         break;
-    case ENDPOINT_BROKE:
+    case ENDPOINT_BROKEN:
         if (e->failures > 0.3) {
-            endpoint_close(e, now_us);
+            endpoint_back_off(e, now_us);
         }
         break;
-    case ENDPOINT_ERRED:
+    case ENDPOINT_SERVER_ERROR:
         break;
     }
 }
--- a/policy/endpoint_end.c
+++ b/policy/endpoint_end.c
@@ -6,7 +6,7 @@
     *end = (endpoint_end_t){
         .endpoint = g_strdup(endpoint),
         .started_ms = started_ms,
-        .runs = g_array_new(FALSE, FALSE, sizeof(cut_run_t)),
+        .runs = g_array_new(FALSE, FALSE, sizeof(interrupted_run_t)),
     };
 }
 
@@ -18,10 +18,10 @@
 }
 
 gboolean
-endpoint_end_add(endpoint_end_t *end, cut_run_t run)
+endpoint_end_add(endpoint_end_t *end, interrupted_run_t run)
 {
     for (guint i = 0; i < end->runs->len; i++) {
-        if (g_array_index(end->runs, cut_run_t, i).fingerprint ==
+        if (g_array_index(end->runs, interrupted_run_t, i).fingerprint ==
             run.fingerprint) {
             return FALSE;
         }
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -3,35 +3,36 @@
 #include <math.h>
 
 static const double SMOOTHING = 0.2;
-static const double IDLE_COST = 0.5;    /* of a full endpoint's token time */
-static const double SLOW_RATIO = 2.0;   /* against the median: straggler */
-static const double HEALED_RATIO = 1.5; /* and back */
-static const double EJECT_SHARE = 0.34; /* never more of a pool at once */
+static const double IDLE_COST = 0.5;  /* of a full endpoint's token time */
+static const double SLOW_RATIO = 2.0; /* against the median: straggler */
+static const double RECOVERED_RATIO = 1.5; /* and back */
+static const double EJECTED_MAX_FRACTION =
+    0.34; /* never more of a pool at once */
 enum {
     FAILURES_TO_EJECT = 2,
-    SAMPLES_TO_JUDGE = 3,
+    SPEED_SAMPLES_MIN = 3,
     SLOW_SLOT_DIVISOR = 4,
-    PREFIX_HOLDERS = 2,
+    PREFIX_ENDPOINTS_MAX = 2,
 };
-static const gint64 FIRST_BACKOFF_US = 1 * G_USEC_PER_SEC;
-static const gint64 LAST_BACKOFF_US = 30 * G_USEC_PER_SEC;
+static const gint64 BACKOFF_MIN_US = 1 * G_USEC_PER_SEC;
+static const gint64 BACKOFF_MAX_US = 30 * G_USEC_PER_SEC;
 
 /* Who was last known to hold a prefix. */
 typedef struct {
     guint64 prefix;
-    guint64 holders[PREFIX_HOLDERS];
+    guint64 endpoints[PREFIX_ENDPOINTS_MAX];
     GList link;
 } prefix_entry_t;
 
 struct endpoint_set {
     GHashTable *by_id; /* id -> endpoint_state_t */
-    heap_t heap;       /* sound, with a free slot, least loaded first */
-    heap_t doubtful;   /* the same of stragglers and those probed */
+    heap_t healthy;    /* healthy_only, with a free slot, least loaded first */
+    heap_t degraded;   /* the same of stragglers and those probed */
     GHashTable *prefixes;
     GQueue prefix_order; /* oldest first, bounds the table */
     guint slots;
     guint free;
-    guint doubtful_free;
+    guint degraded_free;
     double median_token_us;
 };
 
@@ -43,8 +44,8 @@
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     set->prefixes =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    heap_init(&set->heap);
-    heap_init(&set->doubtful);
+    heap_init(&set->healthy);
+    heap_init(&set->degraded);
     g_queue_init(&set->prefix_order);
     return set;
 }
@@ -53,8 +54,8 @@
 endpoint_set_destroy(endpoint_set_t *set)
 {
     g_hash_table_unref(set->prefixes);
-    heap_clear(&set->heap);
-    heap_clear(&set->doubtful);
+    heap_clear(&set->healthy);
+    heap_clear(&set->degraded);
     g_hash_table_unref(set->by_id);
     g_free(set);
 }
@@ -93,14 +94,14 @@
     double used = (double)(e->inflight + e->foreign + 1) / MAX(e->slots, 1);
     double load = IDLE_COST + used;
     double slowness = 1;
-    if (e->samples >= SAMPLES_TO_JUDGE && set->median_token_us > 0) {
+    if (e->samples >= SPEED_SAMPLES_MIN && set->median_token_us > 0) {
         slowness = MAX(e->token_us / set->median_token_us, 0.25);
     }
     return load * slowness;
 }
 
 static gboolean
-is_doubtful(const endpoint_state_t *e)
+is_degraded(const endpoint_state_t *e)
 {
     return e->health != ENDPOINT_OK;
 }
@@ -109,11 +110,11 @@
 static void
 endpoint_detach(endpoint_set_t *set, endpoint_state_t *e)
 {
-    gboolean doubtful = is_doubtful(e);
-    *(doubtful ? &set->doubtful_free : &set->free) -= free_slots(e);
+    gboolean degraded = is_degraded(e);
+    *(degraded ? &set->degraded_free : &set->free) -= free_slots(e);
     set->slots -= usable_slots(e);
     if (e->node.index >= 0) {
-        heap_remove(doubtful ? &set->doubtful : &set->heap, &e->node);
+        heap_remove(degraded ? &set->degraded : &set->healthy, &e->node);
     }
 }
 
@@ -121,18 +122,18 @@
 static void
 endpoint_attach(endpoint_set_t *set, endpoint_state_t *e)
 {
-    gboolean doubtful = is_doubtful(e);
+    gboolean degraded = is_degraded(e);
     guint available = free_slots(e);
-    *(doubtful ? &set->doubtful_free : &set->free) += available;
+    *(degraded ? &set->degraded_free : &set->free) += available;
     set->slots += usable_slots(e);
     e->node.key = load_key(set, e);
     if (available > 0) {
-        heap_push(doubtful ? &set->doubtful : &set->heap, &e->node);
+        heap_push(degraded ? &set->degraded : &set->healthy, &e->node);
     }
 }
 
 static void
-remember_inflight(endpoint_state_t *e, gint64 now_us)
+record_inflight(endpoint_state_t *e, gint64 now_us)
 {
     e->history[e->history_next % ENDPOINT_HISTORY] = (endpoint_sample_t){
         .at_us = now_us,
@@ -167,10 +168,10 @@
             .node = {.tie = id, .index = -1},
             .id = id,
             .health = ENDPOINT_OK,
-            .backoff_us = FIRST_BACKOFF_US,
+            .backoff_us = BACKOFF_MIN_US,
         };
         g_hash_table_insert(set->by_id, &e->id, e);
-        remember_inflight(e, now_us);
+        record_inflight(e, now_us);
     }
     else {
         endpoint_detach(set, e);
@@ -191,7 +192,7 @@
 }
 
 void
-endpoint_set_leave(endpoint_set_t *set, guint64 id)
+endpoint_set_remove(endpoint_set_t *set, guint64 id)
 {
     endpoint_state_t *e = g_hash_table_lookup(set->by_id, &id);
     if (e == NULL) {
@@ -204,7 +205,7 @@
 }
 
 static void
-observe_speed(endpoint_state_t *e, double token_us)
+record_token_time(endpoint_state_t *e, double token_us)
 {
     if (token_us <= 0 || !isfinite(token_us)) {
         return;
@@ -222,14 +223,14 @@
 {
     endpoint_state_t *e = g_hash_table_lookup(set->by_id, &id);
     /* A report that is not newer than the last one tells nothing. */
-    if (e == NULL || at_us <= e->report_us) {
+    if (e == NULL || at_us <= e->last_report_us) {
         return;
     }
-    e->report_us = at_us;
+    e->last_report_us = at_us;
     guint own = inflight_at(e, at_us);
     endpoint_detach(set, e);
     e->foreign = busy > own ? busy - own : 0;
-    observe_speed(e, token_us);
+    record_token_time(e, token_us);
     endpoint_attach(set, e);
 }
 
@@ -238,7 +239,7 @@
 {
     prefix_entry_t *entry = g_hash_table_lookup(set->prefixes, &prefix);
     if (entry == NULL) {
-        if (set->prefix_order.length >= ENDPOINT_PREFIXES) {
+        if (set->prefix_order.length >= ENDPOINT_SET_PREFIXES_MAX) {
             prefix_entry_t *oldest =
                 g_queue_peek_head_link(&set->prefix_order)->data;
             g_queue_unlink(&set->prefix_order, &oldest->link);
@@ -253,9 +254,9 @@
         g_queue_unlink(&set->prefix_order, &entry->link);
     }
     g_queue_push_tail_link(&set->prefix_order, &entry->link);
-    if (entry->holders[0] != id) {
-        entry->holders[1] = entry->holders[0];
-        entry->holders[0] = id;
+    if (entry->endpoints[0] != id) {
+        entry->endpoints[1] = entry->endpoints[0];
+        entry->endpoints[0] = id;
     }
 }
 
@@ -271,19 +272,19 @@
         return;
     }
     prefix_entry_t *entry = g_hash_table_lookup(set->prefixes, &prefix);
-    for (int i = 0; entry && i < PREFIX_HOLDERS; i++) {
-        if (entry->holders[i] == id) {
-            entry->holders[i] = 0;
+    for (int i = 0; entry && i < PREFIX_ENDPOINTS_MAX; i++) {
+        if (entry->endpoints[i] == id) {
+            entry->endpoints[i] = 0;
         }
     }
 }
 
 /* An endpoint that can take one more, or NULL. */
 static endpoint_state_t *
-find_free(const endpoint_set_t *set, guint64 id, gboolean sound)
+find_free(const endpoint_set_t *set, guint64 id, gboolean healthy_only)
 {
     endpoint_state_t *e = id ? g_hash_table_lookup(set->by_id, &id) : NULL;
-    if (e == NULL || e->node.index < 0 || (sound && is_doubtful(e))) {
+    if (e == NULL || e->node.index < 0 || (healthy_only && is_degraded(e))) {
         return NULL;
     }
     return e;
@@ -291,7 +292,7 @@
 
 /* The first of a heap other than `avoid`, if there is another. */
 static endpoint_state_t *
-first_of(const heap_t *heap, guint64 avoid)
+least_loaded_in(const heap_t *heap, guint64 avoid)
 {
     endpoint_state_t *best = (endpoint_state_t *)heap_peek(heap);
     if (best == NULL || best->id != avoid || heap_size(heap) == 1) {
@@ -306,10 +307,11 @@
 }
 
 static endpoint_state_t *
-least_loaded(const endpoint_set_t *set, guint64 avoid, gboolean sound)
+least_loaded(const endpoint_set_t *set, guint64 avoid, gboolean healthy_only)
 {
-    endpoint_state_t *best = first_of(&set->heap, avoid);
-    endpoint_state_t *other = sound ? NULL : first_of(&set->doubtful, avoid);
+    endpoint_state_t *best = least_loaded_in(&set->healthy, avoid);
+    endpoint_state_t *other =
+        healthy_only ? NULL : least_loaded_in(&set->degraded, avoid);
     if (best == NULL || other == NULL) {
         return best ? best : other;
     }
@@ -317,42 +319,43 @@
 }
 
 endpoint_state_t *
-endpoint_set_choose(endpoint_set_t *set, gboolean sound, guint64 prefix,
+endpoint_set_choose(endpoint_set_t *set, gboolean healthy_only, guint64 prefix,
                     guint64 avoid, double prefill_us, double tokens)
 {
-    endpoint_state_t *best = least_loaded(set, avoid, sound);
+    endpoint_state_t *best = least_loaded(set, avoid, healthy_only);
     if (best == NULL || prefix == 0) {
         return best;
     }
     const prefix_entry_t *entry = g_hash_table_lookup(set->prefixes, &prefix);
     double token_us = set->median_token_us;
-    for (int i = 0; entry && i < PREFIX_HOLDERS; i++) {
-        endpoint_state_t *holder = find_free(set, entry->holders[i], sound);
-        if (holder == NULL || holder->id == avoid) {
+    for (int i = 0; entry && i < PREFIX_ENDPOINTS_MAX; i++) {
+        endpoint_state_t *cached =
+            find_free(set, entry->endpoints[i], healthy_only);
+        if (cached == NULL || cached->id == avoid) {
             continue;
         }
         double penalty_us =
-            tokens * token_us * (holder->node.key - best->node.key);
+            tokens * token_us * (cached->node.key - best->node.key);
         if (penalty_us <= prefill_us) {
-            return holder;
+            return cached;
         }
     }
     return best;
 }
 
 void
-endpoint_set_taken(endpoint_set_t *set, endpoint_state_t *endpoint,
-                   guint64 prefix, gint64 now_us)
+endpoint_set_acquire(endpoint_set_t *set, endpoint_state_t *endpoint,
+                     guint64 prefix, gint64 now_us)
 {
     endpoint_detach(set, endpoint);
     endpoint->inflight++;
-    remember_inflight(endpoint, now_us);
+    record_inflight(endpoint, now_us);
     endpoint_attach(set, endpoint);
     endpoint_set_prefix(set, prefix, endpoint->id, TRUE);
 }
 
 static guint
-count_ejected(const endpoint_set_t *set)
+count_unhealthy(const endpoint_set_t *set)
 {
     guint count = 0;
     GHashTableIter iter;
@@ -367,42 +370,43 @@
 }
 
 static gboolean
-may_eject_one(const endpoint_set_t *set)
+may_eject(const endpoint_set_t *set)
 {
     guint count = g_hash_table_size(set->by_id);
-    return count_ejected(set) + 1 <= MAX(1, (guint)(EJECT_SHARE * count)) &&
+    return count_unhealthy(set) + 1 <=
+               MAX(1, (guint)(EJECTED_MAX_FRACTION * count)) &&
            count > 1;
 }
 
 static void
-note_failure(endpoint_set_t *set, endpoint_state_t *e, gint64 now_us)
+record_failure(endpoint_set_t *set, endpoint_state_t *e, gint64 now_us)
 {
     e->failures++;
     gboolean probing = e->health == ENDPOINT_PROBING;
-    gboolean can_eject = e->health == ENDPOINT_OK && may_eject_one(set);
+    gboolean can_eject = e->health == ENDPOINT_OK && may_eject(set);
     if (e->failures < FAILURES_TO_EJECT && !probing) {
         return;
     }
     if (probing || can_eject || e->health == ENDPOINT_SLOW) {
         e->health = ENDPOINT_EJECTED;
         e->probe_at_us = now_us + e->backoff_us;
-        e->backoff_us = MIN(e->backoff_us * 2, LAST_BACKOFF_US);
+        e->backoff_us = MIN(e->backoff_us * 2, BACKOFF_MAX_US);
     }
 }
 
 static void
-note_success(endpoint_state_t *e)
+record_success(endpoint_state_t *e)
 {
     e->failures = 0;
     if (e->health == ENDPOINT_PROBING) {
         e->health = ENDPOINT_OK;
-        e->backoff_us = FIRST_BACKOFF_US;
+        e->backoff_us = BACKOFF_MIN_US;
     }
 }
 
 void
-endpoint_set_done(endpoint_set_t *set, guint64 id, gboolean failed,
-                  double token_us, gint64 now_us)
+endpoint_set_release(endpoint_set_t *set, guint64 id, gboolean failed,
+                     double token_us, gint64 now_us)
 {
     endpoint_state_t *e = g_hash_table_lookup(set->by_id, &id);
     if (e == NULL) {
@@ -412,13 +416,13 @@
     if (e->inflight > 0) {
         e->inflight--;
     }
-    remember_inflight(e, now_us);
-    observe_speed(e, token_us);
+    record_inflight(e, now_us);
+    record_token_time(e, token_us);
     if (failed) {
-        note_failure(set, e, now_us);
+        record_failure(set, e, now_us);
     }
     else {
-        note_success(e);
+        record_success(e);
     }
     endpoint_attach(set, e);
     remove_if_idle(set, e);
@@ -433,35 +437,35 @@
 }
 
 static double
-median_speed(const endpoint_set_t *set)
+median_token_time(const endpoint_set_t *set)
 {
-    GArray *speeds = g_array_new(FALSE, FALSE, sizeof(double));
+    GArray *times = g_array_new(FALSE, FALSE, sizeof(double));
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, set->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const endpoint_state_t *e = value;
-        if (e->samples >= SAMPLES_TO_JUDGE) {
-            g_array_append_val(speeds, e->token_us);
+        if (e->samples >= SPEED_SAMPLES_MIN) {
+            g_array_append_val(times, e->token_us);
         }
     }
-    g_array_sort(speeds, compare_double);
+    g_array_sort(times, compare_double);
     double median =
-        speeds->len ? g_array_index(speeds, double, (speeds->len - 1) / 2) : 0;
-    g_array_unref(speeds);
+        times->len ? g_array_index(times, double, (times->len - 1) / 2) : 0;
+    g_array_unref(times);
     return median;
 }
 
 static void
-review_one(endpoint_set_t *set, endpoint_state_t *e, gint64 now_us)
+endpoint_update_health(endpoint_set_t *set, endpoint_state_t *e, gint64 now_us)
 {
-    gboolean judged =
-        e->samples >= SAMPLES_TO_JUDGE && set->median_token_us > 0;
-    double ratio = judged ? e->token_us / set->median_token_us : 1;
-    if (e->health == ENDPOINT_OK && ratio > SLOW_RATIO && may_eject_one(set)) {
+    gboolean measured =
+        e->samples >= SPEED_SAMPLES_MIN && set->median_token_us > 0;
+    double ratio = measured ? e->token_us / set->median_token_us : 1;
+    if (e->health == ENDPOINT_OK && ratio > SLOW_RATIO && may_eject(set)) {
         e->health = ENDPOINT_SLOW;
     }
-    else if (e->health == ENDPOINT_SLOW && ratio < HEALED_RATIO) {
+    else if (e->health == ENDPOINT_SLOW && ratio < RECOVERED_RATIO) {
         e->health = ENDPOINT_OK;
     }
     else if (e->health == ENDPOINT_EJECTED && now_us >= e->probe_at_us) {
@@ -470,24 +474,24 @@
 }
 
 void
-endpoint_set_review(endpoint_set_t *set, gint64 now_us)
+endpoint_set_update_health(endpoint_set_t *set, gint64 now_us)
 {
-    set->median_token_us = median_speed(set);
+    set->median_token_us = median_token_time(set);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, set->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         endpoint_state_t *e = value;
         endpoint_detach(set, e);
-        review_one(set, e, now_us);
+        endpoint_update_health(set, e, now_us);
         endpoint_attach(set, e);
     }
 }
 
 guint
-endpoint_set_free(const endpoint_set_t *set, gboolean sound)
+endpoint_set_free(const endpoint_set_t *set, gboolean healthy_only)
 {
-    return sound ? set->free : set->free + set->doubtful_free;
+    return healthy_only ? set->free : set->free + set->degraded_free;
 }
 
 guint
--- a/policy/heap.c
+++ b/policy/heap.c
@@ -20,7 +20,7 @@
 }
 
 static void
-place(heap_t *heap, gsize at, heap_node_t *node)
+set_node(heap_t *heap, gsize at, heap_node_t *node)
 {
     heap->nodes->pdata[at] = node;
     node->index = (gssize)at;
@@ -34,10 +34,10 @@
         if (!node_before(node, parent)) {
             break;
         }
-        place(heap, at, parent);
+        set_node(heap, at, parent);
         at = (at - 1) / 2;
     }
-    place(heap, at, node);
+    set_node(heap, at, node);
 }
 
 static void
@@ -56,10 +56,10 @@
         if (!node_before(heap->nodes->pdata[child], node)) {
             break;
         }
-        place(heap, at, heap->nodes->pdata[child]);
+        set_node(heap, at, heap->nodes->pdata[child]);
         at = child;
     }
-    place(heap, at, node);
+    set_node(heap, at, node);
 }
 
 void
@@ -87,7 +87,7 @@
     if (last == node) {
         return;
     }
-    place(heap, at, last);
+    set_node(heap, at, last);
     heap_update(heap, last);
 }
 
--- a/policy/keepers.c
+++ b/policy/keepers.c
@@ -18,7 +18,7 @@
 static gboolean
 may_be_asked(const endpoint_t *e, gint64 now_us)
 {
-    return e != NULL && endpoint_open(e, now_us) &&
+    return e != NULL && endpoint_available(e, now_us) &&
            e->failures < SOURCE_FAILURES;
 }
 
@@ -27,7 +27,7 @@
 is_source(const endpoint_t *e, gint64 now_us)
 {
     return may_be_asked(e, now_us) &&
-           (endpoint_usable(e, now_us) || endpoint_lends(e, now_us));
+           (endpoint_usable(e, now_us) || endpoint_fetchable(e, now_us));
 }
 
 /* Puts an endpoint in its place, if it has one among the first. */
@@ -54,7 +54,7 @@
 static void
 note_leaving(ranking_t *r, const endpoint_t *e, guint64 rank, gint64 now_us)
 {
-    if (rank > r->leaving_rank && endpoint_lends(e, now_us)) {
+    if (rank > r->leaving_rank && endpoint_fetchable(e, now_us)) {
         r->keepers.leaving = e;
         r->leaving_rank = rank;
     }
--- a/policy/lifecycle.c
+++ b/policy/lifecycle.c
@@ -1,181 +1,184 @@
 #include "carobloom/policy/lifecycle.h"
 
-typedef gboolean (*guard_t)(const life_t *life);
+typedef gboolean (*guard_t)(const lifecycle_t *lifecycle);
 
 static gboolean
-guard_repeatable(const life_t *life)
+guard_repeatable(const lifecycle_t *lifecycle)
 {
-    return life->repeatable;
+    return lifecycle->repeatable;
 }
 
 static gboolean
-guard_claimed(const life_t *life)
+guard_claimed(const lifecycle_t *lifecycle)
 {
-    return life->claimed;
+    return lifecycle->claimed;
 }
 
 static gboolean
-guard_retry(const life_t *life)
+guard_retry(const lifecycle_t *lifecycle)
 {
-    return life->retry_allowed && life->attempts < life->attempts_max;
+    return lifecycle->retry_allowed &&
+           lifecycle->attempts < lifecycle->attempts_max;
 }
 
 static gboolean
-guard_repeat(const life_t *life)
+guard_repeat(const lifecycle_t *lifecycle)
 {
-    return life->repeatable && guard_retry(life);
+    return lifecycle->repeatable && guard_retry(lifecycle);
 }
 
 static gboolean
-guard_resume(const life_t *life)
+guard_resume(const lifecycle_t *lifecycle)
 {
-    return life->repeatable && life->resume && guard_retry(life);
+    return lifecycle->repeatable && lifecycle->resume &&
+           guard_retry(lifecycle);
 }
 
 static gboolean
-guard_resumable(const life_t *life)
+guard_resumable(const lifecycle_t *lifecycle)
 {
-    return life->repeatable && life->resume;
+    return lifecycle->repeatable && lifecycle->resume;
 }
 
 /* One row: in `state`, on `event`, if `guard` allows, go to `next`. The first
  * row that fits is taken. */
 typedef struct {
-    life_state_t state;
-    life_event_t event;
+    lifecycle_state_t state;
+    lifecycle_event_t event;
     guard_t guard;
     const char *guard_name;
-    life_state_t next;
+    lifecycle_state_t next;
     outcome_t outcome;
-    life_command_t commands[LIFE_COMMANDS_MAX];
+    lifecycle_command_t commands[LIFECYCLE_COMMANDS_MAX];
 } transition_t;
 
 #define IF(name) .guard = guard_##name, .guard_name = #name
 #define DO(...) .commands = {__VA_ARGS__}
-#define CLAIM LIFE_COMMAND_CLAIM
-#define SUBMIT LIFE_COMMAND_SUBMIT
-#define WITHDRAW LIFE_COMMAND_WITHDRAW
-#define DISPATCH LIFE_COMMAND_DISPATCH
-#define ABORT LIFE_COMMAND_ABORT
-#define SETTLE_COMPLETE LIFE_COMMAND_SETTLE_COMPLETE
-#define SETTLE_FAILED LIFE_COMMAND_SETTLE_FAILED
-#define SETTLE_CANCELLED LIFE_COMMAND_SETTLE_CANCELLED
-#define RELEASE LIFE_COMMAND_RELEASE
-#define KEEP LIFE_COMMAND_KEEP
-#define ANSWER LIFE_COMMAND_ANSWER
-#define DETACH LIFE_COMMAND_DETACH
+#define CLAIM LIFECYCLE_COMMAND_CLAIM
+#define SUBMIT LIFECYCLE_COMMAND_SUBMIT
+#define WITHDRAW LIFECYCLE_COMMAND_WITHDRAW
+#define DISPATCH LIFECYCLE_COMMAND_DISPATCH
+#define ABORT LIFECYCLE_COMMAND_ABORT
+#define SETTLE_COMPLETE LIFECYCLE_COMMAND_SETTLE_COMPLETE
+#define SETTLE_FAILED LIFECYCLE_COMMAND_SETTLE_FAILED
+#define SETTLE_CANCELLED LIFECYCLE_COMMAND_SETTLE_CANCELLED
+#define RELEASE LIFECYCLE_COMMAND_RELEASE
+#define KEEP LIFECYCLE_COMMAND_KEEP
+#define ANSWER LIFECYCLE_COMMAND_ANSWER
+#define DETACH LIFECYCLE_COMMAND_DETACH
 
 /* clang-format off */
 static const transition_t transitions[] = {
-    {LIFE_NEW, LIFE_EVENT_ADMIT, IF(repeatable), .next = LIFE_QUEUED, DO(SUBMIT)},
-    {LIFE_NEW, LIFE_EVENT_ADMIT, .next = LIFE_CLAIMING, DO(CLAIM)},
-    {LIFE_NEW, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ANSWER)},
-
-    {LIFE_CLAIMING, LIFE_EVENT_CLAIM_WON, .next = LIFE_QUEUED, DO(SUBMIT)},
-    {LIFE_CLAIMING, LIFE_EVENT_CLAIM_LOST, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ANSWER)},
-    {LIFE_CLAIMING, LIFE_EVENT_CLAIM_FAILED, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
-    {LIFE_CLAIMING, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
-    {LIFE_CLAIMING, LIFE_EVENT_EXPIRED, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
-
-    {LIFE_QUEUED, LIFE_EVENT_GRANT, .next = LIFE_CONNECTING, DO(DISPATCH)},
-    {LIFE_QUEUED, LIFE_EVENT_REFUSE, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
-    {LIFE_QUEUED, LIFE_EVENT_REFUSE, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ANSWER)},
-    {LIFE_QUEUED, LIFE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, RELEASE, ANSWER)},
-    {LIFE_QUEUED, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, ANSWER)},
-    {LIFE_QUEUED, LIFE_EVENT_EXPIRED, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, RELEASE, ANSWER)},
-    {LIFE_QUEUED, LIFE_EVENT_EXPIRED, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, ANSWER)},
-
-    {LIFE_CONNECTING, LIFE_EVENT_WRITING, .next = LIFE_SENT},
-    {LIFE_CONNECTING, LIFE_EVENT_BROKEN, IF(retry), .next = LIFE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
-    {LIFE_CONNECTING, LIFE_EVENT_BROKEN, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, RELEASE, ANSWER)},
-    {LIFE_CONNECTING, LIFE_EVENT_BROKEN, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, ANSWER)},
-    {LIFE_CONNECTING, LIFE_EVENT_PREEMPT, IF(repeatable), .next = LIFE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
-    {LIFE_CONNECTING, LIFE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, RELEASE, ANSWER)},
-    {LIFE_CONNECTING, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
-    {LIFE_CONNECTING, LIFE_EVENT_EXPIRED, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, RELEASE, ANSWER)},
-    {LIFE_CONNECTING, LIFE_EVENT_EXPIRED, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
-
-    {LIFE_SENT, LIFE_EVENT_PART, .next = LIFE_STREAMING},
-    {LIFE_SENT, LIFE_EVENT_END, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, KEEP, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_END, .next = LIFE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_NOT_RUN, IF(retry), .next = LIFE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
-    {LIFE_SENT, LIFE_EVENT_NOT_RUN, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, RELEASE, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_NOT_RUN, .next = LIFE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_BROKEN, IF(repeat), .next = LIFE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
-    {LIFE_SENT, LIFE_EVENT_BROKEN, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_BROKEN, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_PREEMPT, IF(repeatable), .next = LIFE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
-    {LIFE_SENT, LIFE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFE_SENT, DO(DETACH)},
-    {LIFE_SENT, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_EXPIRED, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
-    {LIFE_SENT, LIFE_EVENT_EXPIRED, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
-
-    {LIFE_STREAMING, LIFE_EVENT_PART, .next = LIFE_STREAMING},
-    {LIFE_STREAMING, LIFE_EVENT_END, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, KEEP, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_END, .next = LIFE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_BROKEN, IF(resume), .next = LIFE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
-    {LIFE_STREAMING, LIFE_EVENT_BROKEN, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_BROKEN, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_PREEMPT, IF(resumable), .next = LIFE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
-    {LIFE_STREAMING, LIFE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFE_STREAMING, DO(DETACH)},
-    {LIFE_STREAMING, LIFE_EVENT_CALLER_LEFT, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_EXPIRED, IF(claimed), .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
-    {LIFE_STREAMING, LIFE_EVENT_EXPIRED, .next = LIFE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+    {LIFECYCLE_NEW, LIFECYCLE_EVENT_ADMIT, IF(repeatable), .next = LIFECYCLE_QUEUED, DO(SUBMIT)},
+    {LIFECYCLE_NEW, LIFECYCLE_EVENT_ADMIT, .next = LIFECYCLE_CLAIMING, DO(CLAIM)},
+    {LIFECYCLE_NEW, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ANSWER)},
+
+    {LIFECYCLE_CLAIMING, LIFECYCLE_EVENT_CLAIM_WON, .next = LIFECYCLE_QUEUED, DO(SUBMIT)},
+    {LIFECYCLE_CLAIMING, LIFECYCLE_EVENT_CLAIM_LOST, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ANSWER)},
+    {LIFECYCLE_CLAIMING, LIFECYCLE_EVENT_CLAIM_FAILED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
+    {LIFECYCLE_CLAIMING, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
+    {LIFECYCLE_CLAIMING, LIFECYCLE_EVENT_EXPIRED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
+
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_GRANT, .next = LIFECYCLE_CONNECTING, DO(DISPATCH)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_REFUSE, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(RELEASE, ANSWER)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_REFUSE, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ANSWER)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, RELEASE, ANSWER)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, ANSWER)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_EXPIRED, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, RELEASE, ANSWER)},
+    {LIFECYCLE_QUEUED, LIFECYCLE_EVENT_EXPIRED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(WITHDRAW, ANSWER)},
+
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_WRITING, .next = LIFECYCLE_SENT},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_BROKEN, IF(retry), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_BROKEN, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, RELEASE, ANSWER)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_BROKEN, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_PREEMPT, IF(repeatable), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, RELEASE, ANSWER)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_EXPIRED, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, RELEASE, ANSWER)},
+    {LIFECYCLE_CONNECTING, LIFECYCLE_EVENT_EXPIRED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
+
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_PART, .next = LIFECYCLE_STREAMING},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_END, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, KEEP, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_END, .next = LIFECYCLE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_NOT_RUN, IF(retry), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_NOT_RUN, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, RELEASE, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_NOT_RUN, .next = LIFECYCLE_DONE, .outcome = OUTCOME_NOT_RUN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_BROKEN, IF(repeat), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_BROKEN, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_BROKEN, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_PREEMPT, IF(repeatable), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFECYCLE_SENT, DO(DETACH)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_EXPIRED, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
+    {LIFECYCLE_SENT, LIFECYCLE_EVENT_EXPIRED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_PART, .next = LIFECYCLE_STREAMING},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_END, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, KEEP, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_END, .next = LIFECYCLE_DONE, .outcome = OUTCOME_COMPLETE, DO(SETTLE_COMPLETE, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_BROKEN, IF(resume), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_FAILED, SUBMIT)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_BROKEN, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_BROKEN, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_PREEMPT, IF(resumable), .next = LIFECYCLE_QUEUED, DO(ABORT, SETTLE_CANCELLED, SUBMIT)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_CALLER_LEFT, IF(claimed), .next = LIFECYCLE_STREAMING, DO(DETACH)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_CALLER_LEFT, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_CANCELLED, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_EXPIRED, IF(claimed), .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, KEEP, ANSWER)},
+    {LIFECYCLE_STREAMING, LIFECYCLE_EVENT_EXPIRED, .next = LIFECYCLE_DONE, .outcome = OUTCOME_UNKNOWN, DO(ABORT, SETTLE_FAILED, ANSWER)},
 };
 /* clang-format on */
 
 static void
-note_transition(life_t *life, const transition_t *t)
+apply_transition(lifecycle_t *lifecycle, const transition_t *t)
 {
-    life->state = t->next;
+    lifecycle->state = t->next;
     if (t->outcome != OUTCOME_NONE) {
-        life->outcome = t->outcome;
+        lifecycle->outcome = t->outcome;
     }
-    if (t->event == LIFE_EVENT_CLAIM_WON) {
-        life->claimed = TRUE;
+    if (t->event == LIFECYCLE_EVENT_CLAIM_WON) {
+        lifecycle->claimed = TRUE;
     }
-    if (t->event == LIFE_EVENT_GRANT) {
-        life->attempts++;
+    if (t->event == LIFECYCLE_EVENT_GRANT) {
+        lifecycle->attempts++;
     }
-    if (t->event == LIFE_EVENT_PREEMPT) {
-        life->attempts--; /* not the endpoint's fault: no attempt is used */
+    if (t->event == LIFECYCLE_EVENT_PREEMPT) {
+        lifecycle
+            ->attempts--; /* not the endpoint's fault: no attempt is used */
     }
 }
 
-life_step_t
-life_apply(life_t *life, life_event_t event)
+lifecycle_step_t
+lifecycle_apply(lifecycle_t *lifecycle, lifecycle_event_t event)
 {
-    life_step_t step = {0};
+    lifecycle_step_t step = {0};
     for (gsize i = 0; i < G_N_ELEMENTS(transitions); i++) {
         const transition_t *t = &transitions[i];
-        if (t->state != life->state || t->event != event) {
+        if (t->state != lifecycle->state || t->event != event) {
             continue;
         }
-        if (t->guard != NULL && !t->guard(life)) {
+        if (t->guard != NULL && !t->guard(lifecycle)) {
             continue;
         }
-        for (int c = 0; c < LIFE_COMMANDS_MAX; c++) {
+        for (int c = 0; c < LIFECYCLE_COMMANDS_MAX; c++) {
             step.commands[c] = t->commands[c];
         }
-        note_transition(life, t);
+        apply_transition(lifecycle, t);
         return step;
     }
     return step;
 }
 
 const char *
-life_state_name(life_state_t state)
+lifecycle_state_name(lifecycle_state_t state)
 {
-    static const char *const names[LIFE_STATE_COUNT] = {
+    static const char *const names[LIFECYCLE_STATE_COUNT] = {
         "new", "claiming", "queued", "connecting", "sent", "streaming", "done",
     };
     return names[state];
 }
 
 const char *
-life_event_name(life_event_t event)
+lifecycle_event_name(lifecycle_event_t event)
 {
-    static const char *const names[LIFE_EVENT_COUNT] = {
+    static const char *const names[LIFECYCLE_EVENT_COUNT] = {
         "admit",  "claim won", "claim lost",  "claim failed", "grant",
         "refuse", "writing",   "part",        "end",          "not run",
         "broken", "preempt",   "caller left", "expired",
@@ -184,7 +187,7 @@
 }
 
 const char *
-life_command_name(life_command_t command)
+lifecycle_command_name(lifecycle_command_t command)
 {
     static const char *const names[] = {
         "none",
@@ -213,20 +216,20 @@
 }
 
 char *
-life_table_markdown(void)
+lifecycle_table_markdown(void)
 {
     GString *out = g_string_new("| state | event | if | next | outcome | "
                                 "commands |\n|---|---|---|---|---|---|\n");
     for (gsize i = 0; i < G_N_ELEMENTS(transitions); i++) {
         const transition_t *t = &transitions[i];
         g_string_append_printf(
-            out, "| %s | %s | %s | %s | %s |", life_state_name(t->state),
-            life_event_name(t->event), t->guard_name ? t->guard_name : "",
-            life_state_name(t->next),
+            out, "| %s | %s | %s | %s | %s |", lifecycle_state_name(t->state),
+            lifecycle_event_name(t->event), t->guard_name ? t->guard_name : "",
+            lifecycle_state_name(t->next),
             t->outcome ? outcome_name(t->outcome) : "");
-        for (int c = 0; c < LIFE_COMMANDS_MAX && t->commands[c]; c++) {
+        for (int c = 0; c < LIFECYCLE_COMMANDS_MAX && t->commands[c]; c++) {
             g_string_append_printf(out, "%s %s", c ? "," : "",
-                                   life_command_name(t->commands[c]));
+                                   lifecycle_command_name(t->commands[c]));
         }
         g_string_append(out, " |\n");
     }
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -274,7 +274,7 @@
     }
     if (prompt_is_long(r->prompt_tokens) &&
         rest_at(e) > (standing.on_side ? REST_SLOTS * e->slots : 0) &&
-        stalls(r, endpoint_waiting(e) + standing.read_tokens)) {
+        stalls(r, endpoint_waiting_tokens(e) + standing.read_tokens)) {
         return FALSE;
     }
     return running_at(e, r) < MAX(part * e->slots, 1);
@@ -311,7 +311,7 @@
         ms += rest_at(e) * LONG_AT_REST_PART * (double)r->target_ms;
     }
     else {
-        ms += stalls(r, endpoint_waiting(e)) ? SHORT_STALLED_MS : 0;
+        ms += stalls(r, endpoint_waiting_tokens(e)) ? SHORT_STALLED_MS : 0;
         ms += SHORT_FULL_MS * MAX(fullness(e) - SHORT_FULL_FROM, 0);
         if (standing.rank >= KEEPERS_MAX) {
             ms += SHORT_AWAY_PART * REREAD_WEIGHT * shared_tokens(r) /
@@ -468,7 +468,7 @@
     if (!is_candidate(e, c->request, standing, counts, c->now_us)) {
         return FALSE;
     }
-    if (endpoint_open(e, c->now_us) == c->closed) {
+    if (endpoint_available(e, c->now_us) == c->closed) {
         counts->closed += !c->closed;
         return FALSE;
     }
--- a/policy/queue.c
+++ b/policy/queue.c
@@ -21,7 +21,7 @@
                                        team_free),
     };
     heap_init(&queue->heap);
-    g_queue_init(&queue->order);
+    g_queue_init(&queue->by_arrival);
 }
 
 void
@@ -48,10 +48,10 @@
         heap_push(&queue->heap, &team->node);
     }
     job->team = team;
-    job->in_class.data = job;
-    job->in_team.data = job;
-    g_queue_push_tail_link(&queue->order, &job->in_class);
-    g_queue_push_tail_link(&team->jobs, &job->in_team);
+    job->class_link.data = job;
+    job->team_link.data = job;
+    g_queue_push_tail_link(&queue->by_arrival, &job->class_link);
+    g_queue_push_tail_link(&team->jobs, &job->team_link);
     queue->service_us += job->service_us;
 }
 
@@ -59,10 +59,10 @@
 queue_remove(queue_t *queue, job_t *job)
 {
     team_queue_t *team = job->team;
-    g_queue_unlink(&queue->order, &job->in_class);
-    g_queue_unlink(&team->jobs, &job->in_team);
+    g_queue_unlink(&queue->by_arrival, &job->class_link);
+    g_queue_unlink(&team->jobs, &job->team_link);
     queue->service_us -= job->service_us;
-    if (queue->order.length == 0) {
+    if (queue->by_arrival.length == 0) {
         queue->service_us = 0;
     }
     job->team = NULL;
@@ -80,7 +80,7 @@
 }
 
 void
-queue_served(queue_t *queue, const job_t *job)
+queue_charge(queue_t *queue, const job_t *job)
 {
     /* A team that stopped waiting starts anew at the present virtual time,
      * so an idle team earns no credit. */
@@ -103,5 +103,5 @@
 job_t *
 queue_oldest(const queue_t *queue)
 {
-    return queue->order.length ? queue->order.head->data : NULL;
+    return queue->by_arrival.length ? queue->by_arrival.head->data : NULL;
 }
--- a/policy/registry.c
+++ b/policy/registry.c
@@ -4,40 +4,42 @@
 
 /* Three heartbeats may be lost, and one be late by so much. */
 enum {
-    MISSED_HEARTBEATS = 3,
-    LATE_US = 1500 * 1000,
-    REMEMBER_US = 120 * 1000 * 1000,
+    MISSED_HEARTBEATS_MAX = 3,
+    HEARTBEAT_DELAY_MAX_US = 1500 * 1000,
+    RETENTION_US = 120 * 1000 * 1000,
 };
 
 typedef struct {
     endpoint_lease_t lease;
-    lease_state_t said; /* before it fell silent */
-    gint64 heard_us;
-    guint64 changed; /* the cursor at its last change */
+    lease_state_t reported_state; /* before it fell silent */
+    gint64 renewed_us;
+    guint64 change_cursor; /* the cursor at its last change */
     GList *link;
-} item_t;
+} lease_entry_t;
 
 struct registry {
-    gint64 silent_us;
-    GHashTable *by_id; /* item_t, owned */
-    GQueue changes;    /* item_t, the last changed at the tail */
+    gint64 silence_timeout_us;
+    GHashTable *by_id; /* lease_entry_t, owned */
+    GQueue changes;    /* lease_entry_t, the last changed at the tail */
     guint64 cursor;
 };
 
 static void
-item_free(gpointer data)
+lease_entry_free(gpointer data)
 {
-    item_t *item = data;
-    endpoint_lease_clear(&item->lease);
-    g_free(item);
+    lease_entry_t *entry = data;
+    endpoint_lease_clear(&entry->lease);
+    g_free(entry);
 }
 
 registry_t *
 registry_create(gint64 heartbeat_us)
 {
     registry_t *r = g_new0(registry_t, 1);
-    r->silent_us = MISSED_HEARTBEATS * heartbeat_us + LATE_US;
-    r->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, item_free);
+    r->silence_timeout_us =
+        MISSED_HEARTBEATS_MAX * heartbeat_us + HEARTBEAT_DELAY_MAX_US;
+    r->by_id =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lease_entry_free);
     return r;
 }
 
@@ -50,91 +52,91 @@
 }
 
 static void
-note_change(registry_t *r, item_t *item)
+record_change(registry_t *r, lease_entry_t *entry)
 {
-    item->changed = ++r->cursor;
-    if (item->link != NULL) {
-        g_queue_unlink(&r->changes, item->link);
-        g_queue_push_tail_link(&r->changes, item->link);
+    entry->change_cursor = ++r->cursor;
+    if (entry->link != NULL) {
+        g_queue_unlink(&r->changes, entry->link);
+        g_queue_push_tail_link(&r->changes, entry->link);
         return;
     }
-    g_queue_push_tail(&r->changes, item);
-    item->link = r->changes.tail;
+    g_queue_push_tail(&r->changes, entry);
+    entry->link = r->changes.tail;
 }
 
-static item_t *
-item_add(registry_t *r, const endpoint_lease_t *lease)
+static lease_entry_t *
+lease_entry_add(registry_t *r, const endpoint_lease_t *lease)
 {
-    item_t *item = g_new0(item_t, 1);
-    endpoint_lease_copy(&item->lease, lease);
-    g_hash_table_insert(r->by_id, item->lease.id, item);
-    return item;
+    lease_entry_t *entry = g_new0(lease_entry_t, 1);
+    endpoint_lease_copy(&entry->lease, lease);
+    g_hash_table_insert(r->by_id, entry->lease.id, entry);
+    return entry;
 }
 
 registry_result_t
 registry_renew(registry_t *r, const endpoint_lease_t *lease, gint64 now_us)
 {
-    item_t *item = g_hash_table_lookup(r->by_id, lease->id);
-    if (item == NULL) {
-        item = item_add(r, lease);
-        item->said = lease->state;
-        item->heard_us = now_us;
-        note_change(r, item);
-        return REGISTRY_TAKEN;
+    lease_entry_t *entry = g_hash_table_lookup(r->by_id, lease->id);
+    if (entry == NULL) {
+        entry = lease_entry_add(r, lease);
+        entry->reported_state = lease->state;
+        entry->renewed_us = now_us;
+        record_change(r, entry);
+        return REGISTRY_ACCEPTED;
     }
-    gboolean started_again = lease->started_ms > item->lease.started_ms;
-    if (lease->started_ms < item->lease.started_ms) {
-        return REGISTRY_PAST;
+    gboolean restarted = lease->started_ms > entry->lease.started_ms;
+    if (lease->started_ms < entry->lease.started_ms) {
+        return REGISTRY_OLD_INCARNATION;
     }
-    if (!started_again && item->lease.state == LEASE_LEFT) {
-        return REGISTRY_GONE;
+    if (!restarted && entry->lease.state == LEASE_LEFT) {
+        return REGISTRY_LEFT;
     }
-    if (!started_again && lease->sequence <= item->lease.sequence) {
-        return REGISTRY_LATE;
+    if (!restarted && lease->sequence <= entry->lease.sequence) {
+        return REGISTRY_STALE;
     }
-    gboolean changed = started_again || item->lease.state != lease->state ||
-                       item->lease.slots != lease->slots ||
-                       g_strcmp0(item->lease.address, lease->address) != 0 ||
-                       g_strcmp0(item->lease.service, lease->service) != 0;
-    item->heard_us = now_us;
-    item->said = lease->state;
+    gboolean changed = restarted || entry->lease.state != lease->state ||
+                       entry->lease.slots != lease->slots ||
+                       g_strcmp0(entry->lease.address, lease->address) != 0 ||
+                       g_strcmp0(entry->lease.service, lease->service) != 0;
+    entry->renewed_us = now_us;
+    entry->reported_state = lease->state;
     if (changed) {
-        char *id = item->lease.id;
+        char *id = entry->lease.id;
         endpoint_lease_t copy;
         endpoint_lease_copy(&copy, lease);
         g_free(copy.id);
         copy.id = id; /* the table's key */
-        item->lease.id = NULL;
-        endpoint_lease_clear(&item->lease);
-        item->lease = copy;
-        note_change(r, item);
+        entry->lease.id = NULL;
+        endpoint_lease_clear(&entry->lease);
+        entry->lease = copy;
+        record_change(r, entry);
     }
-    item->lease.sequence = lease->sequence;
-    return REGISTRY_TAKEN;
+    entry->lease.sequence = lease->sequence;
+    return REGISTRY_ACCEPTED;
 }
 
 void
 registry_leave(registry_t *r, const char *id, gint64 started_ms,
                gint64 wall_ms, gint64 now_us)
 {
-    item_t *item = g_hash_table_lookup(r->by_id, id);
-    if (item == NULL) {
+    lease_entry_t *entry = g_hash_table_lookup(r->by_id, id);
+    if (entry == NULL) {
         endpoint_lease_t lease = {.id = (char *)id,
                                   .service = "",
                                   .address = "",
                                   .started_ms =
                                       started_ms > 0 ? started_ms : wall_ms};
-        item = item_add(r, &lease);
+        entry = lease_entry_add(r, &lease);
     }
-    if (started_ms > 0 && started_ms < item->lease.started_ms) {
+    if (started_ms > 0 && started_ms < entry->lease.started_ms) {
         return; /* it has started again meanwhile */
     }
-    item->lease.started_ms = MAX(item->lease.started_ms, started_ms);
-    if (item->lease.state != LEASE_LEFT || item->changed == 0) {
-        item->lease.state = LEASE_LEFT;
-        note_change(r, item);
+    entry->lease.started_ms = MAX(entry->lease.started_ms, started_ms);
+    if (entry->lease.state != LEASE_LEFT || entry->change_cursor == 0) {
+        entry->lease.state = LEASE_LEFT;
+        record_change(r, entry);
     }
-    item->heard_us = now_us;
+    entry->renewed_us = now_us;
 }
 
 gboolean
@@ -145,16 +147,17 @@
     gboolean changed = FALSE;
     g_hash_table_iter_init(&iter, r->by_id);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        item_t *item = value;
-        gint64 age = now_us - item->heard_us;
-        if (age > REMEMBER_US) {
-            g_queue_delete_link(&r->changes, item->link);
+        lease_entry_t *entry = value;
+        gint64 age = now_us - entry->renewed_us;
+        if (age > RETENTION_US) {
+            g_queue_delete_link(&r->changes, entry->link);
             g_hash_table_iter_remove(&iter);
         }
-        else if (age > r->silent_us && item->lease.state != LEASE_LEFT &&
-                 item->lease.state != LEASE_SILENT) {
-            item->lease.state = LEASE_SILENT;
-            note_change(r, item);
+        else if (age > r->silence_timeout_us &&
+                 entry->lease.state != LEASE_LEFT &&
+                 entry->lease.state != LEASE_SILENT) {
+            entry->lease.state = LEASE_SILENT;
+            record_change(r, entry);
             changed = TRUE;
         }
     }
@@ -180,8 +183,8 @@
 {
     const GList *first = NULL;
     for (const GList *l = r->changes.tail; l != NULL; l = l->prev) {
-        const item_t *item = l->data;
-        if (item->changed <= cursor) {
+        const lease_entry_t *entry = l->data;
+        if (entry->change_cursor <= cursor) {
             break;
         }
         first = l;
@@ -190,18 +193,18 @@
 }
 
 GPtrArray *
-registry_since(const registry_t *r, guint64 cursor, guint most,
-               guint64 *through)
+registry_changes_since(const registry_t *r, guint64 cursor, guint max_count,
+                       guint64 *through)
 {
     GPtrArray *leases = g_ptr_array_new_with_free_func(lease_free);
     const GList *l = first_after(r, cursor);
     *through = r->cursor;
-    for (; l != NULL && leases->len < most; l = l->next) {
-        const item_t *item = l->data;
+    for (; l != NULL && leases->len < max_count; l = l->next) {
+        const lease_entry_t *entry = l->data;
         endpoint_lease_t *copy = g_new0(endpoint_lease_t, 1);
-        endpoint_lease_copy(copy, &item->lease);
+        endpoint_lease_copy(copy, &entry->lease);
         g_ptr_array_add(leases, copy);
-        *through = l->next != NULL ? item->changed : r->cursor;
+        *through = l->next != NULL ? entry->change_cursor : r->cursor;
     }
     return leases;
 }
--- a/policy/scheduler.c
+++ b/policy/scheduler.c
@@ -7,20 +7,20 @@
 
 static const double LENGTH_QUANTILE = 0.6;
 /* Headroom covers what arrives before a preempted slot is free again. */
-static const gint64 RISE_WINDOW_US = 200 * 1000;
-static const double RISE_FADE = 0.995; /* a window: half in 28 s */
-static const double FREE_SMOOTHING = 0.1;
-static const double HEADROOM_CAP = 0.2; /* of the pool's slots */
-static const double HEADROOM_LEAST = 0.01;
-static const double PREFILL_US_A_TOKEN = 50; /* until measured */
-static const gint64 LEAST_RETRY_US = G_USEC_PER_SEC;
-static const gint64 MOST_RETRY_US = 600 * G_USEC_PER_SEC;
+static const gint64 DEMAND_WINDOW_US = 200 * 1000;
+static const double EXCESS_PEAK_DECAY = 0.995; /* a window: half in 28 s */
+static const double RELEASE_RATE_SMOOTHING = 0.1;
+static const double HEADROOM_MAX_FRACTION = 0.2; /* of the pool's slots */
+static const double HEADROOM_MIN_FRACTION = 0.01;
+static const double PREFILL_US_PER_TOKEN = 50; /* until measured */
+static const gint64 RETRY_AFTER_MIN_US = G_USEC_PER_SEC;
+static const gint64 RETRY_AFTER_MAX_US = 600 * G_USEC_PER_SEC;
 static const double DEFAULT_TOKEN_US = 25000;
-static const double PLAIN_SERVICE_US = 20000;
+static const double DEFAULT_PLAIN_SERVICE_US = 20000;
 enum {
-    MOST_PREEMPTIONS = 2, /* of one ticket */
-    AGED_EVERY = 4,       /* one grant in so many may go to the aged */
-    TEAM_LENGTHS = 4096,  /* teams whose lengths are remembered */
+    PREEMPTIONS_MAX = 2,     /* of one ticket */
+    AGED_GRANT_INTERVAL = 4, /* one grant in so many may go to the aged */
+    TEAM_LENGTHS_MAX = 4096, /* teams whose lengths are remembered */
     PREEMPT_WAIT_DIVISOR = 8,
 };
 
@@ -44,8 +44,8 @@
 
 /* How fast a tier's demand has risen lately, beyond what came free. */
 typedef struct {
-    guint arrivals; /* in the present window */
-    double rise;    /* fading peak, in slots a window */
+    guint arrivals;     /* in the present window */
+    double excess_peak; /* fading peak, in slots a window */
 } tier_state_t;
 
 struct scheduler {
@@ -60,8 +60,8 @@
     scheduler_ablation_t ablation;
     guint preempts_pending;
     guint grants_since_aged;
-    guint frees;      /* slots that came free in the present window */
-    double free_rate; /* slots a window, smoothed */
+    guint releases;      /* slots that came free in the present window */
+    double release_rate; /* slots a window, smoothed */
     gint64 window_us;
     gint64 grace_until_us;
 };
@@ -105,7 +105,7 @@
 }
 
 static void
-class_drain_into(class_state_t *from, class_state_t *to, guint to_index)
+class_move_jobs(class_state_t *from, class_state_t *to, guint to_index)
 {
     job_t *job;
     while ((job = queue_oldest(&from->waiting)) != NULL) {
@@ -131,7 +131,7 @@
         s->classes[i].spec = classes[i];
     }
     for (guint i = count; i < s->count; i++) {
-        class_drain_into(&s->classes[i], &s->classes[count - 1], count - 1);
+        class_move_jobs(&s->classes[i], &s->classes[count - 1], count - 1);
         queue_clear(&s->classes[i].waiting);
     }
     s->count = count;
@@ -164,38 +164,38 @@
 }
 
 double
-scheduler_length(const scheduler_t *s, guint class_index, guint64 team,
-                 double q)
+scheduler_length_quantile(const scheduler_t *s, guint class_index,
+                          guint64 team, double q)
 {
     const class_state_t *c = &s->classes[class_index];
     guint64 key = length_key(class_index, team);
-    const team_length_t *known = g_hash_table_lookup(s->team_lengths, &key);
-    if (known && known->tokens.total >= 8) {
-        return quantile_get(&known->tokens, q, c->spec.typical_tokens);
+    const team_length_t *existing = g_hash_table_lookup(s->team_lengths, &key);
+    if (existing && existing->tokens.total >= 8) {
+        return quantile_get(&existing->tokens, q, c->spec.typical_tokens);
     }
     return quantile_get(&c->tokens, q, MAX(c->spec.typical_tokens, 1));
 }
 
 static void
-learn_length(scheduler_t *s, const job_t *job, guint tokens)
+length_record(scheduler_t *s, const job_t *job, guint tokens)
 {
     class_state_t *c = &s->classes[job->ticket.class_index];
     quantile_add(&c->tokens, tokens);
     guint64 key = length_key(job->ticket.class_index, job->ticket.team);
-    team_length_t *known = g_hash_table_lookup(s->team_lengths, &key);
-    if (known == NULL) {
-        if (s->team_order.length >= TEAM_LENGTHS) {
+    team_length_t *existing = g_hash_table_lookup(s->team_lengths, &key);
+    if (existing == NULL) {
+        if (s->team_order.length >= TEAM_LENGTHS_MAX) {
             team_length_t *oldest = s->team_order.head->data;
             g_queue_unlink(&s->team_order, &oldest->link);
             g_hash_table_remove(s->team_lengths, &oldest->key);
         }
-        known = g_new0(team_length_t, 1);
-        known->key = key;
-        known->link.data = known;
-        g_hash_table_insert(s->team_lengths, &known->key, known);
-        g_queue_push_tail_link(&s->team_order, &known->link);
+        existing = g_new0(team_length_t, 1);
+        existing->key = key;
+        existing->link.data = existing;
+        g_hash_table_insert(s->team_lengths, &existing->key, existing);
+        g_queue_push_tail_link(&s->team_order, &existing->link);
     }
-    quantile_add(&known->tokens, tokens);
+    quantile_add(&existing->tokens, tokens);
 }
 
 static double
@@ -204,7 +204,8 @@
 {
     const class_state_t *c = &s->classes[ticket->class_index];
     if (ticket->plain) {
-        return quantile_trimmed_mean(&c->service_ms, PLAIN_SERVICE_US / 1e3) *
+        return quantile_trimmed_mean(&c->service_ms,
+                                     DEFAULT_PLAIN_SERVICE_US / 1e3) *
                1e3;
     }
     double fallback_ms = tokens * DEFAULT_TOKEN_US / 1e3;
@@ -213,24 +214,24 @@
 
 /* ---- tiers ---- */
 
-/* Ends a window: the rise is what arrived beyond what came free. */
+/* Ends a window: the excess is what arrived beyond what came free. */
 static void
-tiers_observe(scheduler_t *s, gint64 now_us)
+tiers_update_demand(scheduler_t *s, gint64 now_us)
 {
-    if (now_us - s->window_us < RISE_WINDOW_US) {
+    if (now_us - s->window_us < DEMAND_WINDOW_US) {
         return;
     }
     s->window_us = now_us;
-    guint frees = s->frees;
-    s->frees = 0;
-    s->free_rate += FREE_SMOOTHING * (frees - s->free_rate);
+    guint releases = s->releases;
+    s->releases = 0;
+    s->release_rate += RELEASE_RATE_SMOOTHING * (releases - s->release_rate);
     for (int t = 0; t < TIER_COUNT; t++) {
         tier_state_t *tier = &s->tiers[t];
-        guint covered = MIN(frees, tier->arrivals);
-        double rise = tier->arrivals - covered;
-        frees -= covered;
+        guint covered = MIN(releases, tier->arrivals);
+        double excess = tier->arrivals - covered;
+        releases -= covered;
         tier->arrivals = 0;
-        tier->rise = MAX(tier->rise * RISE_FADE, rise);
+        tier->excess_peak = MAX(tier->excess_peak * EXCESS_PEAK_DECAY, excess);
     }
 }
 
@@ -259,12 +260,13 @@
             continue;
         }
         any = TRUE;
-        sum += s->tiers[t].rise;
+        sum += s->tiers[t].excess_peak;
     }
     if (!any) {
         return 0;
     }
-    return (guint)CLAMP(sum, HEADROOM_LEAST * slots, HEADROOM_CAP * slots);
+    return (guint)CLAMP(sum, HEADROOM_MIN_FRACTION * slots,
+                        HEADROOM_MAX_FRACTION * slots);
 }
 
 guint
@@ -273,7 +275,7 @@
     if (s->ablation.no_floors) {
         return 0;
     }
-    double share = s->classes[class_index].spec.least_share;
+    double share = s->classes[class_index].spec.min_share;
     guint slots = endpoint_set_slots(s->endpoints);
     return share > 0 ? MAX(1, (guint)(share * slots)) : 0;
 }
@@ -287,7 +289,7 @@
     return job ? now_us - job->queued_us : 0;
 }
 
-/* A class keeps a slot at all times, and its whole least share once its
+/* A class keeps a slot at all times, and its whole lowest share once its
  * oldest ticket has waited longer than the class allows. */
 static guint
 floor_now(const scheduler_t *s, guint class_index, gint64 now_us)
@@ -300,7 +302,7 @@
 
 /* Free slots a class may use: a protected one is not sent to stragglers. */
 static guint
-slots_open(const scheduler_t *s, const class_state_t *c)
+class_free_slots(const scheduler_t *s, const class_state_t *c)
 {
     return endpoint_set_free(s->endpoints, c->spec.protect);
 }
@@ -313,7 +315,7 @@
     double best_ratio = 1;
     for (guint i = 0; i < s->count; i++) {
         class_state_t *c = &s->classes[i];
-        if (c->waiting.order.length == 0 || slots_open(s, c) == 0) {
+        if (c->waiting.by_arrival.length == 0 || class_free_slots(s, c) == 0) {
             continue;
         }
         double ratio =
@@ -332,7 +334,7 @@
     class_state_t *best = NULL;
     for (guint i = 0; i < s->count; i++) {
         class_state_t *c = &s->classes[i];
-        if (c->waiting.order.length == 0 || slots_open(s, c) == 0 ||
+        if (c->waiting.by_arrival.length == 0 || class_free_slots(s, c) == 0 ||
             c->running.length >= floor_now(s, i, now_us)) {
             continue;
         }
@@ -350,7 +352,7 @@
     class_state_t *best = NULL;
     for (guint i = 0; i < s->count; i++) {
         class_state_t *c = &s->classes[i];
-        if (c->waiting.order.length == 0 || slots_open(s, c) == 0) {
+        if (c->waiting.by_arrival.length == 0 || class_free_slots(s, c) == 0) {
             continue;
         }
         if (best == NULL || c->spec.tier < best->spec.tier ||
@@ -360,7 +362,7 @@
         }
     }
     if (best &&
-        slots_open(s, best) <= scheduler_headroom(s, best->spec.tier)) {
+        class_free_slots(s, best) <= scheduler_headroom(s, best->spec.tier)) {
         return NULL;
     }
     return best;
@@ -373,7 +375,7 @@
     if (endpoint_set_free(s->endpoints, FALSE) == 0) {
         return NULL;
     }
-    if (s->grants_since_aged >= AGED_EVERY) {
+    if (s->grants_since_aged >= AGED_GRANT_INTERVAL) {
         class_state_t *c = pick_aged(s, now_us);
         if (c != NULL) {
             *aged = TRUE;
@@ -387,17 +389,17 @@
 /* ---- grants ---- */
 
 static double
-class_least_virtual_time(const scheduler_t *s, int tier)
+class_min_virtual_time(const scheduler_t *s, int tier)
 {
-    double least = -1;
+    double lowest = -1;
     for (guint i = 0; i < s->count; i++) {
         const class_state_t *c = &s->classes[i];
-        if (c->spec.tier == tier && c->waiting.order.length > 0 &&
-            (least < 0 || c->virtual_time < least)) {
-            least = c->virtual_time;
+        if (c->spec.tier == tier && c->waiting.by_arrival.length > 0 &&
+            (lowest < 0 || c->virtual_time < lowest)) {
+            lowest = c->virtual_time;
         }
     }
-    return MAX(least, 0);
+    return MAX(lowest, 0);
 }
 
 static void
@@ -407,12 +409,12 @@
     job->state = JOB_RUNNING;
     job->endpoint = endpoint;
     job->started_us = now_us;
-    job->in_class.data = job;
-    g_queue_push_head_link(&c->running, &job->in_class);
+    job->class_link.data = job;
+    g_queue_push_head_link(&c->running, &job->class_link);
 }
 
 static void
-job_unqueue(scheduler_t *s, job_t *job)
+job_dequeue(scheduler_t *s, job_t *job)
 {
     queue_remove(&s->classes[job->ticket.class_index].waiting, job);
     if (job->deadline.index >= 0) {
@@ -421,7 +423,7 @@
 }
 
 static void
-add_grant(const job_t *job, gint64 waited_us, GArray *actions)
+append_grant(const job_t *job, gint64 waited_us, GArray *actions)
 {
     action_t action = {
         .type = ACTION_GRANT,
@@ -436,16 +438,16 @@
 grant(scheduler_t *s, class_state_t *c, job_t *job, endpoint_state_t *e,
       gint64 now_us, GArray *actions)
 {
-    job_unqueue(s, job);
-    queue_served(&c->waiting, job);
+    job_dequeue(s, job);
+    queue_charge(&c->waiting, job);
     c->virtual_time += job->service_us / MAX(c->spec.weight, 0.001);
     guint64 prefix = s->ablation.no_affinity ? 0 : job->ticket.prefix;
-    endpoint_set_taken(s->endpoints, e, prefix, now_us);
+    endpoint_set_acquire(s->endpoints, e, prefix, now_us);
     job_start(s, job, e->id, now_us);
     gint64 waited = now_us - job->queued_us;
     c->stats.granted++;
     c->stats.longest_wait_us = MAX(c->stats.longest_wait_us, waited);
-    add_grant(job, waited, actions);
+    append_grant(job, waited, actions);
 }
 
 static gboolean
@@ -458,7 +460,7 @@
     }
     /* The aged go by arrival, so that the bound holds for each ticket. */
     job_t *job = aged ? queue_oldest(&c->waiting) : queue_peek(&c->waiting);
-    double prefill_us = job->ticket.prompt_tokens * PREFILL_US_A_TOKEN;
+    double prefill_us = job->ticket.prompt_tokens * PREFILL_US_PER_TOKEN;
     guint64 prefix = s->ablation.no_affinity ? 0 : job->ticket.prefix;
     endpoint_state_t *e =
         endpoint_set_choose(s->endpoints, prefix, job->ticket.avoid,
@@ -479,11 +481,11 @@
     const class_state_t *own = &s->classes[class_index];
     guint slots = endpoint_set_slots(s->endpoints);
     if (slots == 0) {
-        return LEAST_RETRY_US;
+        return RETRY_AFTER_MIN_US;
     }
     double ahead_us = 0;
-    guint held = 0;
-    gboolean lower_runs = FALSE;
+    guint reserved = 0;
+    gboolean lower_running = FALSE;
     for (guint i = 0; i < s->count; i++) {
         const class_state_t *c = &s->classes[i];
         if (c->spec.tier <= own->spec.tier) {
@@ -491,17 +493,17 @@
         }
         else {
             guint floor = MIN(scheduler_floor(s, i), c->running.length);
-            held += floor;
-            lower_runs |= c->running.length > floor;
+            reserved += floor;
+            lower_running |= c->running.length > floor;
         }
     }
-    if (slots_open(s, own) > 0 && ahead_us == 0) {
+    if (class_free_slots(s, own) > 0 && ahead_us == 0) {
         return 0;
     }
-    guint usable = slots > held ? slots - held : 1;
+    guint usable = slots > reserved ? slots - reserved : 1;
     double service_us =
         quantile_trimmed_mean(&own->service_ms, DEFAULT_TOKEN_US / 1e3) * 1e3;
-    double next_slot_us = lower_runs ? 0 : service_us / usable;
+    double next_slot_us = lower_running ? 0 : service_us / usable;
     return (gint64)(ahead_us / usable + next_slot_us);
 }
 
@@ -515,7 +517,8 @@
         .type = ACTION_REFUSE,
         .ticket = job->ticket.id,
         .reason = reason,
-        .retry_after_us = CLAMP(retry_after_us, LEAST_RETRY_US, MOST_RETRY_US),
+        .retry_after_us =
+            CLAMP(retry_after_us, RETRY_AFTER_MIN_US, RETRY_AFTER_MAX_US),
         .waited_us = now_us - job->queued_us,
     };
     g_array_append_val(actions, action);
@@ -524,7 +527,7 @@
 
 /* Whether work of a lower tier could still give way to `tier`. */
 static gboolean
-lower_work_could_yield(const scheduler_t *s, int tier)
+lower_tier_running(const scheduler_t *s, int tier)
 {
     for (guint i = 0; i < s->count; i++) {
         const class_state_t *c = &s->classes[i];
@@ -539,12 +542,12 @@
 static gboolean
 may_refuse(const scheduler_t *s, const class_state_t *c)
 {
-    return !c->spec.protect || !lower_work_could_yield(s, c->spec.tier);
+    return !c->spec.protect || !lower_tier_running(s, c->spec.tier);
 }
 
 static refuse_reason_t
-refusal_at_arrival(const scheduler_t *s, const job_t *job, gint64 wait_us,
-                   gint64 now_us)
+refusal_on_submit(const scheduler_t *s, const job_t *job, gint64 wait_us,
+                  gint64 now_us)
 {
     const class_state_t *c = &s->classes[job->ticket.class_index];
     if (endpoint_set_count(s->endpoints) == 0) {
@@ -553,7 +556,7 @@
     if (!may_refuse(s, c)) {
         return REFUSE_NONE;
     }
-    if (c->waiting.order.length >= c->spec.queue_limit) {
+    if (c->waiting.by_arrival.length >= c->spec.queue_limit) {
         return REFUSE_QUEUE;
     }
     gint64 latest_us = job->ticket.arrived_us + c->spec.deadline_us;
@@ -583,7 +586,7 @@
         for (GList *l = c->running.head; l; l = l->next) {
             job_t *job = l->data;
             if (!job->preempting &&
-                job->ticket.preemptions < MOST_PREEMPTIONS) {
+                job->ticket.preemptions < PREEMPTIONS_MAX) {
                 victim = job;
                 victim_tier = c->spec.tier;
                 break;
@@ -597,18 +600,19 @@
 preempt_for(scheduler_t *s, class_state_t *c, gint64 now_us, GArray *actions)
 {
     gint64 waited = oldest_wait(c, now_us);
-    gint64 patience = c->spec.first_token_us / PREEMPT_WAIT_DIVISOR;
-    if (!c->spec.protect || waited < patience) {
+    gint64 min_wait_us = c->spec.first_token_us / PREEMPT_WAIT_DIVISOR;
+    if (!c->spec.protect || waited < min_wait_us) {
         return;
     }
     /* What comes free by itself in time need not be taken from anyone. */
     gint64 slack = MAX(c->spec.first_token_us / 2 - waited, 0);
-    double coming = s->free_rate * (double)slack / (double)RISE_WINDOW_US;
-    double missing = c->waiting.order.length - coming;
-    if (missing < 1) {
+    double expected_releases =
+        s->release_rate * (double)slack / (double)DEMAND_WINDOW_US;
+    double shortfall = c->waiting.by_arrival.length - expected_releases;
+    if (shortfall < 1) {
         return;
     }
-    guint wanted = (guint)missing;
+    guint wanted = (guint)shortfall;
     while (s->preempts_pending < wanted) {
         job_t *victim = find_victim(s, c->spec.tier, now_us);
         if (victim == NULL) {
@@ -636,8 +640,8 @@
         class_state_t *c = &s->classes[i];
         /* What is free may be headroom for those above: no use to it. */
         gboolean blocked =
-            slots_open(s, c) <= scheduler_headroom(s, c->spec.tier);
-        if (c->waiting.order.length > 0 && blocked) {
+            class_free_slots(s, c) <= scheduler_headroom(s, c->spec.tier);
+        if (c->waiting.by_arrival.length > 0 && blocked) {
             preempt_for(s, c, now_us, actions);
         }
     }
@@ -646,7 +650,7 @@
 /* ---- events ---- */
 
 void
-scheduler_run(scheduler_t *s, gint64 now_us, GArray *actions)
+scheduler_grant(scheduler_t *s, gint64 now_us, GArray *actions)
 {
     while (grant_next(s, now_us, actions)) {
     }
@@ -662,8 +666,8 @@
     job->queued_us = now_us;
     job->deadline.index = -1;
     job->deadline.tie = ticket->id;
-    double length = scheduler_length(s, job->ticket.class_index, ticket->team,
-                                     LENGTH_QUANTILE);
+    double length = scheduler_length_quantile(s, job->ticket.class_index,
+                                              ticket->team, LENGTH_QUANTILE);
     job->expected_tokens = MAX(length - ticket->done_tokens, 1);
     job->service_us =
         expected_service_us(s, &job->ticket, job->expected_tokens);
@@ -675,10 +679,10 @@
 scheduler_submit(scheduler_t *s, const ticket_t *ticket, gint64 now_us,
                  GArray *actions)
 {
-    job_t *known = g_hash_table_lookup(s->jobs, &ticket->id);
-    if (known != NULL) {
-        if (known->state == JOB_RUNNING) {
-            add_grant(known, 0, actions);
+    job_t *existing = g_hash_table_lookup(s->jobs, &ticket->id);
+    if (existing != NULL) {
+        if (existing->state == JOB_RUNNING) {
+            append_grant(existing, 0, actions);
         }
         return;
     }
@@ -686,20 +690,20 @@
     class_state_t *c = &s->classes[job->ticket.class_index];
     c->stats.submitted++;
     gint64 wait_us = scheduler_expected_wait(s, job->ticket.class_index);
-    refuse_reason_t reason = refusal_at_arrival(s, job, wait_us, now_us);
+    refuse_reason_t reason = refusal_on_submit(s, job, wait_us, now_us);
     if (reason != REFUSE_NONE) {
         refuse(s, job, reason, wait_us - c->spec.deadline_us, now_us, actions);
         return;
     }
-    if (c->waiting.order.length == 0) {
+    if (c->waiting.by_arrival.length == 0) {
         c->virtual_time =
-            MAX(c->virtual_time, class_least_virtual_time(s, c->spec.tier));
+            MAX(c->virtual_time, class_min_virtual_time(s, c->spec.tier));
     }
     queue_push(&c->waiting, job);
     job->deadline.key = (double)(job->ticket.arrived_us + c->spec.deadline_us);
     heap_push(&s->deadlines, &job->deadline);
     s->tiers[c->spec.tier].arrivals++;
-    scheduler_run(s, now_us, actions);
+    scheduler_grant(s, now_us, actions);
 }
 
 void
@@ -713,7 +717,7 @@
     endpoint_state_t *e =
         (endpoint_state_t *)endpoint_set_find(s->endpoints, endpoint);
     if (e != NULL) {
-        endpoint_set_taken(s->endpoints, e, ticket->prefix, now_us);
+        endpoint_set_acquire(s->endpoints, e, ticket->prefix, now_us);
     }
     job_start(s, job, endpoint, now_us);
 }
@@ -725,7 +729,7 @@
     if (job == NULL || job->state != JOB_WAITING) {
         return;
     }
-    job_unqueue(s, job);
+    job_dequeue(s, job);
     g_hash_table_remove(s->jobs, &id);
 }
 
@@ -734,7 +738,7 @@
 job_stop(scheduler_t *s, job_t *job)
 {
     class_state_t *c = &s->classes[job->ticket.class_index];
-    g_queue_unlink(&c->running, &job->in_class);
+    g_queue_unlink(&c->running, &job->class_link);
     if (job->preempting && s->preempts_pending > 0) {
         s->preempts_pending--;
     }
@@ -749,20 +753,20 @@
         return;
     }
     job_stop(s, job);
-    s->frees++;
+    s->releases++;
     class_state_t *c = &s->classes[job->ticket.class_index];
     gboolean failed = settlement->result == SETTLE_FAILED;
-    endpoint_set_done(s->endpoints, job->endpoint, failed,
-                      settlement->token_us, now_us);
-    double held_ms = (double)(now_us - job->started_us) / 1e3;
+    endpoint_set_release(s->endpoints, job->endpoint, failed,
+                         settlement->token_us, now_us);
+    double elapsed_ms = (double)(now_us - job->started_us) / 1e3;
     if (settlement->result == SETTLE_COMPLETE) {
-        quantile_add(&c->service_ms, MAX(held_ms, 1));
+        quantile_add(&c->service_ms, MAX(elapsed_ms, 1));
         if (!job->ticket.plain) {
-            learn_length(s, job, settlement->tokens);
+            length_record(s, job, settlement->tokens);
         }
     }
     g_hash_table_remove(s->jobs, &id);
-    scheduler_run(s, now_us, actions);
+    scheduler_grant(s, now_us, actions);
 }
 
 static void
@@ -782,7 +786,7 @@
             continue;
         }
         guint class_index = job->ticket.class_index;
-        job_unqueue(s, job);
+        job_dequeue(s, job);
         refuse(s, job, REFUSE_DEADLINE,
                scheduler_expected_wait(s, class_index), now_us, actions);
     }
@@ -795,8 +799,8 @@
     for (guint i = 0; i < s->count; i++) {
         job_t *job;
         while ((job = queue_oldest(&s->classes[i].waiting)) != NULL) {
-            job_unqueue(s, job);
-            refuse(s, job, REFUSE_POOL, LEAST_RETRY_US, now_us, actions);
+            job_dequeue(s, job);
+            refuse(s, job, REFUSE_POOL, RETRY_AFTER_MIN_US, now_us, actions);
         }
     }
 }
@@ -804,25 +808,25 @@
 void
 scheduler_tick(scheduler_t *s, gint64 now_us, GArray *actions)
 {
-    endpoint_set_review(s->endpoints, now_us);
-    tiers_observe(s, now_us);
+    endpoint_set_update_health(s->endpoints, now_us);
+    tiers_update_demand(s, now_us);
     if (endpoint_set_count(s->endpoints) == 0 && now_us >= s->grace_until_us) {
         refuse_all(s, now_us, actions);
     }
     expire(s, now_us, actions);
-    scheduler_run(s, now_us, actions);
+    scheduler_grant(s, now_us, actions);
 }
 
 /* Ends a job whose entry no longer knows it. */
 static void
-job_abandon(scheduler_t *s, job_t *job, gint64 now_us)
+job_drop(scheduler_t *s, job_t *job, gint64 now_us)
 {
     if (job->state == JOB_WAITING) {
-        job_unqueue(s, job);
+        job_dequeue(s, job);
         return;
     }
     job_stop(s, job);
-    endpoint_set_done(s->endpoints, job->endpoint, FALSE, 0, now_us);
+    endpoint_set_release(s->endpoints, job->endpoint, FALSE, 0, now_us);
 }
 
 static gboolean
@@ -852,12 +856,12 @@
             contains_id(ids, count, job->ticket.id)) {
             continue;
         }
-        job_abandon(s, job, now_us);
+        job_drop(s, job, now_us);
         g_hash_table_iter_remove(&iter);
         ended++;
     }
     if (ended > 0) {
-        scheduler_run(s, now_us, actions);
+        scheduler_grant(s, now_us, actions);
     }
     return ended;
 }
@@ -874,16 +878,16 @@
         if ((guint32)(job->ticket.id >> 32) != entry) {
             continue;
         }
-        job_abandon(s, job, now_us);
+        job_drop(s, job, now_us);
         g_hash_table_iter_remove(&iter);
     }
-    scheduler_run(s, now_us, actions);
+    scheduler_grant(s, now_us, actions);
 }
 
 guint
 scheduler_waiting(const scheduler_t *s, guint class_index)
 {
-    return s->classes[class_index].waiting.order.length;
+    return s->classes[class_index].waiting.by_arrival.length;
 }
 
 guint
--- a/policy/sse.c
+++ b/policy/sse.c
@@ -75,7 +75,7 @@
     int result =
         fn((str_t){.data = data->str, .length = data->len}, raw, user);
     g_string_free(data, TRUE);
-    return result == 0 ? SSE_OK : SSE_ERROR_STOP;
+    return result == 0 ? SSE_OK : SSE_ERROR_STOPPED;
 }
 
 int
@@ -96,7 +96,7 @@
     }
     g_string_erase(sse->pending, 0, (gssize)at);
     if (result == SSE_OK && sse->pending->len > SSE_EVENT_MAX) {
-        return SSE_ERROR_LONG;
+        return SSE_ERROR_TOO_LONG;
     }
     return result;
 }
--- a/replay/policies.c
+++ b/replay/policies.c
@@ -395,8 +395,8 @@
             put_engine(p, e, at, slots_for(p, e, at));
         }
         else {
-            endpoint_set_leave(scheduler_endpoints(p->schedulers[at][e->pool]),
-                               e->index + 1);
+            endpoint_set_remove(
+                scheduler_endpoints(p->schedulers[at][e->pool]), e->index + 1);
         }
     }
 }
--- a/replay/trace.c
+++ b/replay/trace.c
@@ -30,7 +30,7 @@
     c->wait_bound_us = ms(item, "wait_bound_ms", 600000);
     c->spec = (class_spec_t){
         .tier = (int)number(item, "tier", 0),
-        .least_share = number(item, "least_share", 0.02),
+        .min_share = number(item, "least_share", 0.02),
         .weight = number(item, "weight", 1),
         .first_token_us = ms(item, "first_token_ms", 1000),
         .between_tokens_us = ms(item, "between_tokens_ms", 100),
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -246,7 +246,7 @@
     while (cursor < registry_cursor(r)) {
         sync_answer_t answer = {.data_centre = "dc"};
         answer.leases =
-            registry_since(r, cursor, SYNC_LEASES_MAX, &answer.cursor);
+            registry_changes_since(r, cursor, SYNC_LEASES_MAX, &answer.cursor);
         CU_ASSERT_FATAL(answer.cursor > cursor);
         GBytes *written = sync_answer_write(&answer);
         CU_ASSERT(g_bytes_get_size(written) <= ANSWER_BYTES);
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -62,9 +62,9 @@
 {
     endpoint_end_t end;
     endpoint_end_init(&end, "e", 5);
-    CU_ASSERT(endpoint_end_add(&end, (cut_run_t){1, RUN_BEGINNING}));
-    CU_ASSERT(endpoint_end_add(&end, (cut_run_t){2, RUN_LONG}));
-    CU_ASSERT(!endpoint_end_add(&end, (cut_run_t){1, RUN_LONG}));
+    CU_ASSERT(endpoint_end_add(&end, (interrupted_run_t){1, RUN_BEGINNING}));
+    CU_ASSERT(endpoint_end_add(&end, (interrupted_run_t){2, RUN_LONG}));
+    CU_ASSERT(!endpoint_end_add(&end, (interrupted_run_t){1, RUN_LONG}));
     CU_ASSERT_EQUAL(end.runs->len, 2);
     endpoint_end_clear(&end);
 }
@@ -223,11 +223,12 @@
     endpoint_end_t end;
     endpoint_end_init(&end, endpoint, 0);
     for (const char *c = what; *c != '\0'; c++) {
-        cut_run_t run = {.fingerprint = letter_fingerprint(*c),
-                         .stage = c[1] == '\''          ? RUN_ANSWERED
-                                  : c[1] == '!'         ? RUN_TRIED
-                                  : g_ascii_islower(*c) ? RUN_LONG
-                                                        : RUN_BEGINNING};
+        interrupted_run_t run = {.fingerprint = letter_fingerprint(*c),
+                                 .stage = c[1] == '\''  ? RUN_ANSWERED
+                                          : c[1] == '!' ? RUN_PROBE
+                                          : g_ascii_islower(*c)
+                                              ? RUN_LONG
+                                              : RUN_BEGINNING};
         if (g_ascii_isalpha(*c)) {
             endpoint_end_add(&end, run);
         }
@@ -313,10 +314,10 @@
         g_snprintf(name, sizeof(name), "e%u", i);
         endpoint_end_init(&end, name, 5);
         for (guint j = 0; j < RUNS; j++) {
-            endpoint_end_add(&end, (cut_run_t){next++, RUN_BEGINNING});
+            endpoint_end_add(&end, (interrupted_run_t){next++, RUN_BEGINNING});
         }
         if (i % 500 < 4) {
-            endpoint_end_add(&end, (cut_run_t){cause, RUN_BEGINNING});
+            endpoint_end_add(&end, (interrupted_run_t){cause, RUN_BEGINNING});
         }
         crash_ledger_note_end(l, &end, now_us);
         endpoint_end_clear(&end);
@@ -347,7 +348,7 @@
             endpoint_end_t end;
             g_snprintf(name, sizeof(name), "e%u.%u", i, j);
             endpoint_end_init(&end, name, 0);
-            endpoint_end_add(&end, (cut_run_t){i + 1, RUN_BEGINNING});
+            endpoint_end_add(&end, (interrupted_run_t){i + 1, RUN_BEGINNING});
             crash_ledger_note_end(l, &end, now_us);
             endpoint_end_clear(&end);
         }
@@ -487,14 +488,14 @@
 
 /* Whether a request may be sent now; a trial is used up. */
 static gboolean
-may_send(site_t *site, cut_run_t *run, gint64 now_us)
+may_send(site_t *site, interrupted_run_t *run, gint64 now_us)
 {
     site_take_orders(site, now_us);
     run->stage = RUN_BEGINNING;
     if (quarantine_find(site->quarantine, run->fingerprint, now_us) == NULL) {
         return TRUE;
     }
-    run->stage = RUN_TRIED;
+    run->stage = RUN_PROBE;
     return quarantine_take_trial(site->quarantine, run->fingerprint, now_us);
 }
 
@@ -503,8 +504,8 @@
 /* Callers whose requests run on endpoints until one of these ends, by the
  * cause (NULL: for another reason); each comes again until it is answered. */
 static void
-end_one(site_t *site, GRand *random, const cut_run_t *cause, guint number,
-        gint64 now_us)
+end_one(site_t *site, GRand *random, const interrupted_run_t *cause,
+        guint number, gint64 now_us)
 {
     char name[16];
     endpoint_end_t end;
@@ -514,7 +515,7 @@
         endpoint_end_add(&end, *cause);
     }
     for (guint64 i = 1; i <= CALLERS; i++) {
-        cut_run_t run = {.fingerprint = i};
+        interrupted_run_t run = {.fingerprint = i};
         if (g_rand_int_range(random, 0, 3) == 0 &&
             may_send(site, &run, now_us)) {
             endpoint_end_add(&end, run);
@@ -566,7 +567,7 @@
     caused_t caused = {0};
     guint steps = STEPS + (guint)(CALM_MS / c->step_ms);
     for (guint i = 0; i < steps; i++) {
-        cut_run_t cause_run = {.fingerprint = CAUSE};
+        interrupted_run_t cause_run = {.fingerprint = CAUSE};
         gboolean cause = may_send(&site, &cause_run, now_us);
         gboolean killed = c->kill_one_in > 0 && i < STEPS &&
                           g_rand_int_range(random, 0, c->kill_one_in) == 0;
@@ -577,7 +578,7 @@
             note_caused(&caused, now_us);
         }
         for (guint64 j = 1; j <= CALLERS; j++) {
-            cut_run_t run = {.fingerprint = j};
+            interrupted_run_t run = {.fingerprint = j};
             if (g_rand_int_range(random, 0, 10) == 0 &&
                 may_send(&site, &run, now_us)) {
                 crash_ledger_note_answered(l, j, now_us);
@@ -683,8 +684,8 @@
     guint64 answered = 77;
     crash_report_init(report);
     endpoint_end_init(&end, "e1", 1234);
-    endpoint_end_add(&end, (cut_run_t){5, RUN_BEGINNING});
-    endpoint_end_add(&end, (cut_run_t){6, RUN_LONG});
+    endpoint_end_add(&end, (interrupted_run_t){5, RUN_BEGINNING});
+    endpoint_end_add(&end, (interrupted_run_t){6, RUN_LONG});
     g_array_append_val(report->ends, end);
     g_array_append_val(report->answered, answered);
 }
@@ -702,7 +703,8 @@
     CU_ASSERT_STRING_EQUAL(end->endpoint, "e1");
     CU_ASSERT_EQUAL(end->started_ms, 1234);
     CU_ASSERT_EQUAL_FATAL(end->runs->len, 2);
-    CU_ASSERT_EQUAL(g_array_index(end->runs, cut_run_t, 1).stage, RUN_LONG);
+    CU_ASSERT_EQUAL(g_array_index(end->runs, interrupted_run_t, 1).stage,
+                    RUN_LONG);
     CU_ASSERT_EQUAL(g_array_index(back.answered, guint64, 0), 77);
     crash_report_clear(&back);
     crash_report_clear(&report);
--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -196,16 +196,16 @@
     endpoint_lease_t ready = lease_of("e", 2, LEASE_READY);
     endpoint_lease_t late = lease_of("e", 1, LEASE_DRAINING);
     endpoint_lease_t again = lease_of("e", 3, LEASE_READY);
-    CU_ASSERT_EQUAL(registry_renew(r, &ready, SECOND), REGISTRY_TAKEN);
+    CU_ASSERT_EQUAL(registry_renew(r, &ready, SECOND), REGISTRY_ACCEPTED);
     guint64 through;
     guint64 cursor = registry_cursor(r);
-    CU_ASSERT_EQUAL(registry_renew(r, &late, SECOND), REGISTRY_LATE);
-    CU_ASSERT_EQUAL(registry_renew(r, &again, 2 * SECOND), REGISTRY_TAKEN);
+    CU_ASSERT_EQUAL(registry_renew(r, &late, SECOND), REGISTRY_STALE);
+    CU_ASSERT_EQUAL(registry_renew(r, &again, 2 * SECOND), REGISTRY_ACCEPTED);
     /* A renewal alone is no news. */
     CU_ASSERT_EQUAL(registry_cursor(r), cursor);
     CU_ASSERT_FALSE(registry_expire(r, 4 * SECOND));
     CU_ASSERT(registry_expire(r, 8 * SECOND));
-    GPtrArray *news = registry_since(r, cursor, G_MAXUINT, &through);
+    GPtrArray *news = registry_changes_since(r, cursor, G_MAXUINT, &through);
     CU_ASSERT_EQUAL_FATAL(news->len, 1);
     CU_ASSERT_EQUAL(((endpoint_lease_t *)news->pdata[0])->state, LEASE_SILENT);
     g_ptr_array_unref(news);
@@ -214,9 +214,9 @@
     CU_ASSERT(registry_cursor(r) > cursor + 1);
     registry_leave(r, "e", 0, 1, 10 * SECOND);
     again.sequence = 5;
-    CU_ASSERT_EQUAL(registry_renew(r, &again, 11 * SECOND), REGISTRY_GONE);
+    CU_ASSERT_EQUAL(registry_renew(r, &again, 11 * SECOND), REGISTRY_LEFT);
     registry_leave(r, "never seen", 0, 1, 11 * SECOND);
-    news = registry_since(r, 0, G_MAXUINT, &through);
+    news = registry_changes_since(r, 0, G_MAXUINT, &through);
     CU_ASSERT_EQUAL(news->len, 2);
     g_ptr_array_unref(news);
     registry_destroy(r);
@@ -309,10 +309,11 @@
     endpoint_lease_t new = lease_of("new", 1, LEASE_READY);
     directory_update(d, 0, &old, SECOND);
     directory_update(d, 0, &new, 2 * SECOND);
-    CU_ASSERT_FALSE(endpoint_open(directory_find(d, "old"), 3 * SECOND));
-    CU_ASSERT(endpoint_open(directory_find(d, "new"), 3 * SECOND));
-    endpoint_note(directory_find(d, "old"), ENDPOINT_MISDIRECTED, 9 * SECOND);
-    CU_ASSERT_FALSE(endpoint_open(directory_find(d, "old"), 30 * SECOND));
+    CU_ASSERT_FALSE(endpoint_available(directory_find(d, "old"), 3 * SECOND));
+    CU_ASSERT(endpoint_available(directory_find(d, "new"), 3 * SECOND));
+    endpoint_record_outcome(directory_find(d, "old"), ENDPOINT_MISDIRECTED,
+                            9 * SECOND);
+    CU_ASSERT_FALSE(endpoint_available(directory_find(d, "old"), 30 * SECOND));
     directory_destroy(d);
 }
 
@@ -342,43 +343,43 @@
 
 static const start_case_t START_CASES[] = {
     {"counts start anew",
-     {{100, 50, LEASE_READY, REGISTRY_TAKEN},
-      {200, 1, LEASE_READY, REGISTRY_TAKEN},
-      {200, 2, LEASE_READY, REGISTRY_TAKEN}},
+     {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
+      {200, 1, LEASE_READY, REGISTRY_ACCEPTED},
+      {200, 2, LEASE_READY, REGISTRY_ACCEPTED}},
      3,
      200,
      LEASE_READY},
     {"a renewal of the start before that came late",
-     {{100, 50, LEASE_READY, REGISTRY_TAKEN},
-      {200, 1, LEASE_READY, REGISTRY_TAKEN},
-      {100, 51, LEASE_DRAINING, REGISTRY_PAST}},
+     {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
+      {200, 1, LEASE_READY, REGISTRY_ACCEPTED},
+      {100, 51, LEASE_DRAINING, REGISTRY_OLD_INCARNATION}},
      3,
      200,
      LEASE_READY},
     {"it drained before",
-     {{100, 50, LEASE_DRAINING, REGISTRY_TAKEN},
-      {200, 1, LEASE_READY, REGISTRY_TAKEN}},
+     {{100, 50, LEASE_DRAINING, REGISTRY_ACCEPTED},
+      {200, 1, LEASE_READY, REGISTRY_ACCEPTED}},
      2,
      200,
      LEASE_READY},
     {"it left before",
-     {{100, 50, LEASE_READY, REGISTRY_TAKEN},
-      {100, 0, LEASE_LEFT, REGISTRY_TAKEN},
-      {100, 51, LEASE_READY, REGISTRY_GONE},
-      {200, 1, LEASE_READY, REGISTRY_TAKEN}},
+     {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
+      {100, 0, LEASE_LEFT, REGISTRY_ACCEPTED},
+      {100, 51, LEASE_READY, REGISTRY_LEFT},
+      {200, 1, LEASE_READY, REGISTRY_ACCEPTED}},
      4,
      200,
      LEASE_READY},
     {"the start before leaves late",
-     {{100, 50, LEASE_READY, REGISTRY_TAKEN},
-      {200, 1, LEASE_READY, REGISTRY_TAKEN},
-      {100, 0, LEASE_LEFT, REGISTRY_TAKEN}},
+     {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
+      {200, 1, LEASE_READY, REGISTRY_ACCEPTED},
+      {100, 0, LEASE_LEFT, REGISTRY_ACCEPTED}},
      3,
      200,
      LEASE_READY},
     {"without word of its start another writer changes nothing",
-     {{100, 50, LEASE_READY, REGISTRY_TAKEN},
-      {0, 51, LEASE_DRAINING, REGISTRY_PAST}},
+     {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
+      {0, 51, LEASE_DRAINING, REGISTRY_OLD_INCARNATION}},
      2,
      100,
      LEASE_READY},
@@ -402,7 +403,7 @@
                             c->heard[j].result);
         }
         guint64 through;
-        GPtrArray *all = registry_since(r, 0, G_MAXUINT, &through);
+        GPtrArray *all = registry_changes_since(r, 0, G_MAXUINT, &through);
         CU_ASSERT_EQUAL_FATAL(all->len, 1);
         const endpoint_lease_t *lease = all->pdata[0];
         if (lease->started_ms != c->started_ms || lease->state != c->state) {
@@ -424,8 +425,9 @@
     endpoint_lease_t before = lease_of_start(100, 50, LEASE_READY);
     endpoint_lease_t after = lease_of_start(300, 1, LEASE_READY);
     registry_leave(r, "e", 0, 200, SECOND);
-    CU_ASSERT_EQUAL(registry_renew(r, &before, SECOND), REGISTRY_PAST);
-    CU_ASSERT_EQUAL(registry_renew(r, &after, SECOND), REGISTRY_TAKEN);
+    CU_ASSERT_EQUAL(registry_renew(r, &before, SECOND),
+                    REGISTRY_OLD_INCARNATION);
+    CU_ASSERT_EQUAL(registry_renew(r, &after, SECOND), REGISTRY_ACCEPTED);
     registry_destroy(r);
 }
 
@@ -443,13 +445,13 @@
     directory_update(d, 0, &first, SECOND);
     endpoint_t *before = directory_find(d, "e");
     directory_note_part(d, before, 77);
-    endpoint_note(before, ENDPOINT_UNREACHABLE, SECOND);
-    endpoint_join(before, 5000, 5000);
+    endpoint_record_outcome(before, ENDPOINT_UNREACHABLE, SECOND);
+    endpoint_add_request(before, 5000, 5000);
     directory_update(d, 1, &second, SECOND);
     endpoint_t *after = directory_find(d, "e");
     CU_ASSERT(after != before);
     CU_ASSERT_STRING_EQUAL(after->address, "10.0.0.2:80");
-    CU_ASSERT(endpoint_open(after, SECOND));
+    CU_ASSERT(endpoint_available(after, SECOND));
     CU_ASSERT_FALSE(endpoint_has_part(after, 77));
     CU_ASSERT_EQUAL(after->running, 0);
     CU_ASSERT_EQUAL(directory_service(d, "s")->len, 1);
@@ -458,7 +460,7 @@
     CU_ASSERT(endpoint_usable(directory_find(d, "e"), SECOND));
     CU_ASSERT_FALSE(directory_find(d, "e")->draining);
     directory_sweep(d, SECOND);
-    endpoint_leave(before, 5000); /* its request was still there */
+    endpoint_remove_request(before, 5000); /* its request was still there */
     directory_sweep(d, SECOND);
     CU_ASSERT_EQUAL(directory_count(d), 1);
     left.started_ms = 200;
@@ -481,8 +483,8 @@
         new.started_ms = 200;
         directory_update(d, 0, order == 0 ? &old : &new, SECOND);
         directory_update(d, 0, order == 0 ? &new : &old, SECOND);
-        CU_ASSERT_FALSE(endpoint_open(directory_find(d, "old"), SECOND));
-        CU_ASSERT(endpoint_open(directory_find(d, "new"), SECOND));
+        CU_ASSERT_FALSE(endpoint_available(directory_find(d, "old"), SECOND));
+        CU_ASSERT(endpoint_available(directory_find(d, "new"), SECOND));
         directory_destroy(d);
     }
 }
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -141,12 +141,13 @@
 {
     directory_t *d = engines_create();
     endpoint_t *first = place(d, 0, 0, 0, FALSE, 5);
-    endpoint_note(first, ENDPOINT_UNREACHABLE, 2 * SECOND);
+    endpoint_record_outcome(first, ENDPOINT_UNREACHABLE, 2 * SECOND);
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 0, 0, 0, FALSE, 5), first);
     for (int i = 0; i < ENGINES; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "engine-%d", i);
-        endpoint_note(directory_find(d, id), ENDPOINT_UNREACHABLE, 2 * SECOND);
+        endpoint_record_outcome(directory_find(d, id), ENDPOINT_UNREACHABLE,
+                                2 * SECOND);
     }
     CU_ASSERT_PTR_NOT_NULL(place(d, 0, 0, 0, FALSE, 5));
     for (int i = 0; i < ENGINES; i++) {
@@ -171,7 +172,7 @@
     for (guint32 draw = 0; draw < 500; draw++) {
         endpoint_t *e = place(d, 12000, 1 + draw % 40, 5000, TRUE, draw);
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
+            endpoint_add_request(e, 12000, 0);
             taken++;
         }
     }
@@ -236,7 +237,7 @@
         place_case_t c = {.tokens = 12000, .parted = TRUE, .draw = n};
         endpoint_t *e = place_of(d, c).endpoint;
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
+            endpoint_add_request(e, 12000, 0);
             taken++;
         }
     }
@@ -265,7 +266,7 @@
             endpoint_t *e = place_of(d, c).endpoint;
             if (e != NULL) {
                 CU_ASSERT(e->prompt_tokens <= 0.6 * MEMORY);
-                endpoint_join(e, TOKENS[i], 0);
+                endpoint_add_request(e, TOKENS[i], 0);
                 taken++;
             }
         }
@@ -303,7 +304,7 @@
                           .memory_tokens = MEMORY,
                           .unknown_sharers = MEMORIES[i].sharers};
         endpoint_t *home = place_of(d, c).endpoint;
-        endpoint_join(home, OWN, 0);
+        endpoint_add_request(home, OWN, 0);
         home->others.prompt_tokens = MEMORIES[i].others;
         gboolean stays = place_of(d, c).endpoint == home;
         if (stays != MEMORIES[i].stays) {
@@ -369,7 +370,7 @@
                           .unknown_sharers = INSTANCES};
         endpoint_t *e = place_of(seen[n % INSTANCES], c).endpoint;
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
+            endpoint_add_request(e, 12000, 0);
             taken[atoi(e->id + strlen("engine-"))]++;
             sum++;
         }
@@ -422,17 +423,17 @@
     gint64 now = SECOND;
     guint tries = 0;
     while (now < 61 * SECOND) {
-        if (endpoint_open(e, now)) {
-            endpoint_note(e, ENDPOINT_FULL, now);
+        if (endpoint_available(e, now)) {
+            endpoint_record_outcome(e, ENDPOINT_FULL, now);
             tries++;
         }
         now += 10000;
     }
     CU_ASSERT(tries <= 30);
-    endpoint_note(e, ENDPOINT_SERVED, now);
+    endpoint_record_outcome(e, ENDPOINT_SERVED, now);
     now = e->full_until_us;
-    endpoint_note(e, ENDPOINT_FULL, now);
-    CU_ASSERT(endpoint_open(e, now + SECOND / 2));
+    endpoint_record_outcome(e, ENDPOINT_FULL, now);
+    CU_ASSERT(endpoint_available(e, now + SECOND / 2));
     directory_destroy(d);
 }
 
@@ -488,7 +489,7 @@
         endpoint_t *next = place_of(d, c).endpoint;
         endpoint_t *e = next;
         while (e == next) {
-            endpoint_join(e, 12000, 0);
+            endpoint_add_request(e, 12000, 0);
             e = place_of(d, c).endpoint;
         }
         CU_ASSERT(next->running >= OBJECTIVES[i].least);
@@ -571,9 +572,9 @@
     CU_ASSERT_PTR_NOT_EQUAL(next.endpoint, home);
     CU_ASSERT_PTR_EQUAL(next.source, home);
     CU_ASSERT_EQUAL(next.read_tokens, 4000);
-    CU_ASSERT(endpoint_lends(home, SECOND + SECOND));
-    CU_ASSERT_FALSE(endpoint_lends(home, SECOND + LEAVES_MS * 1000));
-    home->lends_until_us = 0;
+    CU_ASSERT(endpoint_fetchable(home, SECOND + SECOND));
+    CU_ASSERT_FALSE(endpoint_fetchable(home, SECOND + LEAVES_MS * 1000));
+    home->fetchable_until_us = 0;
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
     directory_destroy(d);
 }
@@ -654,7 +655,7 @@
             .target_ms = 150, .data_centre = "dc", .draw = n * 7};
         endpoint_t *e = placement_pick(list, &request, now_us).endpoint;
         connections += !endpoint_connected(e, now_us);
-        endpoint_note(e, ENDPOINT_SERVED, now_us);
+        endpoint_record_outcome(e, ENDPOINT_SERVED, now_us);
         g_hash_table_add(used, e);
     }
     CU_ASSERT_EQUAL(connections, 1);
@@ -662,7 +663,7 @@
     gint64 now_us = SECOND + REQUESTS * (gint64)GAP_US;
     placement_request_t request = {.target_ms = 150, .data_centre = "dc"};
     endpoint_t *e = placement_pick(list, &request, now_us).endpoint;
-    endpoint_join(e, 0, 0);
+    endpoint_add_request(e, 0, 0);
     CU_ASSERT_PTR_NOT_EQUAL(placement_pick(list, &request, now_us).endpoint,
                             e);
     g_hash_table_unref(used);
@@ -726,7 +727,7 @@
     directory_t *d = engines_create();
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 1; i < all->len; i++) {
-        ((endpoint_t *)all->pdata[i])->closed_until_us = 30 * SECOND;
+        ((endpoint_t *)all->pdata[i])->backoff_until_us = 30 * SECOND;
     }
     place_case_t c = {.tokens = 800};
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, all->pdata[0]);
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -364,8 +364,8 @@
     double error = fabs(engine_model_first_ms(model, tokens) - ms);
     g_array_append_val(p->errors, error);
     r->heard = TRUE;
-    endpoint_end_wait(r->endpoint, kind_of(p, r->kind)->prompt_tokens,
-                      r->waiting);
+    endpoint_end_prefill(r->endpoint, kind_of(p, r->kind)->prompt_tokens,
+                         r->waiting);
     engine_model_note_first(model, tokens, ms);
 }
 
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -147,7 +147,7 @@
         {": comment\n\ndata: x\n\n", 2, "x", SSE_OK},
         {"event: e\nid: 3\ndata: y\n\n", 1, "y", SSE_OK},
         {"data: half", 0, "", SSE_OK},
-        {"data: stop\n\ndata: after\n\n", 1, "stop", SSE_ERROR_STOP},
+        {"data: stop\n\ndata: after\n\n", 1, "stop", SSE_ERROR_STOPPED},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
         for (gsize step = 1; step < 20; step += 6) {
@@ -180,7 +180,7 @@
     for (int i = 0; i < 6 && result == SSE_OK; i++) {
         result = sse_feed(&sse, str_from_cstr(block), on_event, &seen);
     }
-    CU_ASSERT_EQUAL(result, SSE_ERROR_LONG);
+    CU_ASSERT_EQUAL(result, SSE_ERROR_TOO_LONG);
     sse_clear(&sse);
     g_free(block);
 }
@@ -193,29 +193,30 @@
 {
     GRand *rand = g_rand_new_with_seed(11);
     for (int round = 0; round < 20000; round++) {
-        life_t life = {.repeatable = FALSE, .attempts_max = 3};
+        lifecycle_t life = {.repeatable = FALSE, .attempts_max = 3};
         int dispatches_sent = 0;
         gboolean left = FALSE;
         gboolean said_not_run = FALSE;
-        life_apply(&life, LIFE_EVENT_ADMIT);
-        for (int i = 0; i < 30 && life.state != LIFE_DONE; i++) {
-            life_event_t event =
-                (life_event_t)g_rand_int_range(rand, 1, LIFE_EVENT_COUNT);
-            life_state_t before = life.state;
+        lifecycle_apply(&life, LIFECYCLE_EVENT_ADMIT);
+        for (int i = 0; i < 30 && life.state != LIFECYCLE_DONE; i++) {
+            lifecycle_event_t event = (lifecycle_event_t)g_rand_int_range(
+                rand, 1, LIFECYCLE_EVENT_COUNT);
+            lifecycle_state_t before = life.state;
             life.retry_allowed = g_rand_boolean(rand);
-            life_apply(&life, event);
-            if (before == LIFE_CONNECTING && life.state == LIFE_SENT) {
+            lifecycle_apply(&life, event);
+            if (before == LIFECYCLE_CONNECTING &&
+                life.state == LIFECYCLE_SENT) {
                 dispatches_sent++;
                 left = TRUE;
                 said_not_run = FALSE;
             }
-            if (before == LIFE_SENT && event == LIFE_EVENT_NOT_RUN) {
+            if (before == LIFECYCLE_SENT && event == LIFECYCLE_EVENT_NOT_RUN) {
                 said_not_run = TRUE;
                 dispatches_sent--;
             }
         }
         CU_ASSERT_FATAL(dispatches_sent <= 1);
-        if (life.state == LIFE_DONE && life.outcome == OUTCOME_NOT_RUN) {
+        if (life.state == LIFECYCLE_DONE && life.outcome == OUTCOME_NOT_RUN) {
             CU_ASSERT_FATAL(!left || said_not_run);
         }
     }
@@ -228,20 +229,20 @@
     static const struct {
         gboolean repeatable;
         gboolean resume;
-        life_state_t next;
+        lifecycle_state_t next;
     } cases[] = {
-        {TRUE, TRUE, LIFE_QUEUED},
-        {TRUE, FALSE, LIFE_DONE},
-        {FALSE, FALSE, LIFE_DONE},
+        {TRUE, TRUE, LIFECYCLE_QUEUED},
+        {TRUE, FALSE, LIFECYCLE_DONE},
+        {FALSE, FALSE, LIFECYCLE_DONE},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
-        life_t life = {.state = LIFE_STREAMING,
-                       .repeatable = cases[i].repeatable,
-                       .resume = cases[i].resume,
-                       .attempts = 1,
-                       .attempts_max = 3,
-                       .retry_allowed = TRUE};
-        life_apply(&life, LIFE_EVENT_BROKEN);
+        lifecycle_t life = {.state = LIFECYCLE_STREAMING,
+                            .repeatable = cases[i].repeatable,
+                            .resume = cases[i].resume,
+                            .attempts = 1,
+                            .attempts_max = 3,
+                            .retry_allowed = TRUE};
+        lifecycle_apply(&life, LIFECYCLE_EVENT_BROKEN);
         CU_ASSERT_EQUAL(life.state, cases[i].next);
     }
 }
@@ -251,7 +252,7 @@
 test_life_page_is_the_table(void)
 {
     char *page = NULL;
-    char *table = life_table_markdown();
+    char *table = lifecycle_table_markdown();
     g_file_get_contents(SOURCE_ROOT "/docs/design/request-lifecycle.md", &page,
                         NULL, NULL);
     CU_ASSERT(page != NULL && strstr(page, table) != NULL);
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -192,7 +192,7 @@
         return;
     }
     m->gone[at] = TRUE;
-    endpoint_set_leave(set, at + 1);
+    endpoint_set_remove(set, at + 1);
 }
 
 static void
@@ -229,7 +229,7 @@
         break;
     case 9:
         endpoint_event(m);
-        scheduler_run(m->scheduler, m->now, m->actions);
+        scheduler_grant(m->scheduler, m->now, m->actions);
         break;
     case 10:
         /* Sent again: nothing may change, or the same grant comes again. */
@@ -255,7 +255,7 @@
     m->next = 1;
     for (guint i = 0; i < CLASSES; i++) {
         m->classes[i] = (class_spec_t){.tier = (int)i,
-                                       .least_share = 0.05,
+                                       .min_share = 0.05,
                                        .weight = 1,
                                        .first_token_us = 200000,
                                        .deadline_us = 1500000 + i * 4000000,
