--- a/policy/queue.c
+++ b/policy/queue.c
@@ -1,6 +1,6 @@
 #include "carobloom/policy/queue.h"
 
-/* One team's waiting jobs. `node.key` is its virtual start time. */
+/* Waiting jobs of one team. `node.key` is the team's virtual start time. */
 typedef struct team_queue {
     heap_node_t node;
     guint64 team;
@@ -82,8 +82,8 @@
 void
 queue_charge(queue_t *queue, const job_t *job)
 {
-    /* A team that stopped waiting starts anew at the present virtual time,
-     * so an idle team earns no credit. */
+    /* A team that has no waiting jobs starts again at the current virtual
+     * time, so an idle team earns no credit. */
     team_queue_t *team = g_hash_table_lookup(queue->teams, &job->ticket.team);
     double weight = MAX(job->ticket.team_weight, 0.001);
     double cost = MAX(job->service_us, 1) / weight;
--- a/policy/scheduler.c
+++ b/policy/scheduler.c
@@ -6,25 +6,26 @@
 #include "carobloom/policy/queue.h"
 
 static const double LENGTH_QUANTILE = 0.6;
-/* Headroom covers what arrives before a preempted slot is free again. */
+/* Headroom covers the requests that arrive within the time that it takes to
+ * free a slot by preemption. */
 static const gint64 DEMAND_WINDOW_US = 200 * 1000;
-static const double EXCESS_PEAK_DECAY = 0.995; /* a window: half in 28 s */
+static const double EXCESS_PEAK_DECAY = 0.995; /* per window: halves in 28 s */
 static const double RELEASE_RATE_SMOOTHING = 0.1;
 static const double HEADROOM_MAX_FRACTION = 0.2; /* of the pool's slots */
 static const double HEADROOM_MIN_FRACTION = 0.01;
-static const double PREFILL_US_PER_TOKEN = 50; /* until measured */
+static const double PREFILL_US_PER_TOKEN = 50;
 static const gint64 RETRY_AFTER_MIN_US = G_USEC_PER_SEC;
 static const gint64 RETRY_AFTER_MAX_US = 600 * G_USEC_PER_SEC;
 static const double DEFAULT_TOKEN_US = 25000;
 static const double DEFAULT_PLAIN_SERVICE_US = 20000;
 enum {
-    PREEMPTIONS_MAX = 2,     /* of one ticket */
-    AGED_GRANT_INTERVAL = 4, /* one grant in so many may go to the aged */
-    TEAM_LENGTHS_MAX = 4096, /* teams whose lengths are remembered */
-    PREEMPT_WAIT_DIVISOR = 8,
+    PREEMPTIONS_MAX = 2,      /* per ticket */
+    AGED_GRANT_INTERVAL = 4,  /* other grants between two by age */
+    TEAM_LENGTHS_MAX = 4096,  /* bounds the memory of the table */
+    PREEMPT_WAIT_DIVISOR = 8, /* of first_token_us: wait before preempting */
 };
 
-/* Lengths of one class and team. */
+/* Answer lengths of one team in one class. */
 typedef struct {
     guint64 key;
     quantile_t tokens;
@@ -42,10 +43,10 @@
     class_stats_t stats;
 } class_state_t;
 
-/* How fast a tier's demand has risen lately, beyond what came free. */
+/* Excess of a tier's recent arrivals over the slots that came free. */
 typedef struct {
-    guint arrivals;     /* in the present window */
-    double excess_peak; /* fading peak, in slots a window */
+    guint arrivals;     /* in the current window */
+    double excess_peak; /* decaying maximum, in slots per window */
 } tier_state_t;
 
 struct scheduler {
@@ -60,8 +61,8 @@
     scheduler_ablation_t ablation;
     guint preempts_pending;
     guint grants_since_aged;
-    guint releases;      /* slots that came free in the present window */
-    double release_rate; /* slots a window, smoothed */
+    guint releases;      /* slots that came free in the current window */
+    double release_rate; /* slots per window, smoothed */
     gint64 window_us;
     gint64 grace_until_us;
 };
@@ -155,7 +156,7 @@
     return s->endpoints;
 }
 
-/* ---- lengths ---- */
+/* ---- answer lengths and service times ---- */
 
 static guint64
 length_key(guint class_index, guint64 team)
@@ -169,9 +170,9 @@
 {
     const class_state_t *c = &s->classes[class_index];
     guint64 key = length_key(class_index, team);
-    const team_length_t *existing = g_hash_table_lookup(s->team_lengths, &key);
-    if (existing && existing->tokens.total >= 8) {
-        return quantile_get(&existing->tokens, q, c->spec.typical_tokens);
+    const team_length_t *lengths = g_hash_table_lookup(s->team_lengths, &key);
+    if (lengths && lengths->tokens.total >= 8) {
+        return quantile_get(&lengths->tokens, q, c->spec.typical_tokens);
     }
     return quantile_get(&c->tokens, q, MAX(c->spec.typical_tokens, 1));
 }
@@ -182,20 +183,20 @@
     class_state_t *c = &s->classes[job->ticket.class_index];
     quantile_add(&c->tokens, tokens);
     guint64 key = length_key(job->ticket.class_index, job->ticket.team);
-    team_length_t *existing = g_hash_table_lookup(s->team_lengths, &key);
-    if (existing == NULL) {
+    team_length_t *lengths = g_hash_table_lookup(s->team_lengths, &key);
+    if (lengths == NULL) {
         if (s->team_order.length >= TEAM_LENGTHS_MAX) {
             team_length_t *oldest = s->team_order.head->data;
             g_queue_unlink(&s->team_order, &oldest->link);
             g_hash_table_remove(s->team_lengths, &oldest->key);
         }
-        existing = g_new0(team_length_t, 1);
-        existing->key = key;
-        existing->link.data = existing;
-        g_hash_table_insert(s->team_lengths, &existing->key, existing);
-        g_queue_push_tail_link(&s->team_order, &existing->link);
+        lengths = g_new0(team_length_t, 1);
+        lengths->key = key;
+        lengths->link.data = lengths;
+        g_hash_table_insert(s->team_lengths, &lengths->key, lengths);
+        g_queue_push_tail_link(&s->team_order, &lengths->link);
     }
-    quantile_add(&existing->tokens, tokens);
+    quantile_add(&lengths->tokens, tokens);
 }
 
 static double
@@ -212,9 +213,11 @@
     return quantile_trimmed_mean(&c->service_ms, MAX(fallback_ms, 1)) * 1e3;
 }
 
-/* ---- tiers ---- */
+/* ---- headroom ---- */
 
-/* Ends a window: the excess is what arrived beyond what came free. */
+/* Closes the demand window if it is over. Freed slots are counted against
+ * arrivals from the top tier down; the arrivals that remain are the tier's
+ * excess. */
 static void
 tiers_update_demand(scheduler_t *s, gint64 now_us)
 {
@@ -280,8 +283,9 @@
     return share > 0 ? MAX(1, (guint)(share * slots)) : 0;
 }
 
-/* ---- choosing a class ---- */
+/* ---- class selection ---- */
 
+/* Wait of the oldest ticket of a class, in microseconds. */
 static gint64
 oldest_wait(const class_state_t *c, gint64 now_us)
 {
@@ -289,8 +293,8 @@
     return job ? now_us - job->queued_us : 0;
 }
 
-/* A class keeps a slot at all times, and its whole lowest share once its
- * oldest ticket has waited longer than the class allows. */
+/* Slots guaranteed to a class now: one at all times, and its whole minimum
+ * share once its oldest ticket has waited longer than max_wait_us. */
 static guint
 floor_now(const scheduler_t *s, guint class_index, gint64 now_us)
 {
@@ -300,14 +304,16 @@
     return overdue ? floor : MIN(floor, 1);
 }
 
-/* Free slots a class may use: a protected one is not sent to stragglers. */
+/* Free slots that a class may use. Protected classes do not use degraded
+ * endpoints. */
 static guint
 class_free_slots(const scheduler_t *s, const class_state_t *c)
 {
     return endpoint_set_free(s->endpoints, c->spec.protect);
 }
 
-/* The class most overdue against its own bound on waiting. */
+/* Picks the class whose oldest ticket exceeds max_wait_us by the largest
+ * ratio. */
 static class_state_t *
 pick_aged(scheduler_t *s, gint64 now_us)
 {
@@ -328,6 +334,8 @@
     return best;
 }
 
+/* Picks the class of the highest tier that runs fewer tickets than its
+ * floor. */
 static class_state_t *
 pick_below_floor(scheduler_t *s, gint64 now_us)
 {
@@ -345,7 +353,8 @@
     return best;
 }
 
-/* By tier, then by weighted virtual time; lower tiers leave the headroom. */
+/* Picks a class by tier, then by weighted virtual time. Returns NULL if only
+ * the headroom of higher tiers is free. */
 static class_state_t *
 pick_strict(scheduler_t *s)
 {
@@ -388,6 +397,8 @@
 
 /* ---- grants ---- */
 
+/* Lowest virtual time of the waiting classes of a tier. A class that starts to
+ * wait begins there, so an idle class earns no credit. */
 static double
 class_min_virtual_time(const scheduler_t *s, int tier)
 {
@@ -458,7 +469,8 @@
     if (c == NULL) {
         return FALSE;
     }
-    /* The aged go by arrival, so that the bound holds for each ticket. */
+    /* A class picked by age is served by arrival, so that the bound on waiting
+     * holds for each ticket. */
     job_t *job = aged ? queue_oldest(&c->waiting) : queue_peek(&c->waiting);
     double prefill_us = job->ticket.prompt_tokens * PREFILL_US_PER_TOKEN;
     guint64 prefix = s->ablation.no_affinity ? 0 : job->ticket.prefix;
@@ -525,7 +537,7 @@
     g_hash_table_remove(s->jobs, &job->ticket.id);
 }
 
-/* Whether work of a lower tier could still give way to `tier`. */
+/* Whether a class of a tier below `tier` has running requests. */
 static gboolean
 lower_tier_running(const scheduler_t *s, int tier)
 {
@@ -538,7 +550,7 @@
     return FALSE;
 }
 
-/* A protected class is refused only when no lower tier holds a slot. */
+/* A protected class is refused only if no lower tier has running requests. */
 static gboolean
 may_refuse(const scheduler_t *s, const class_state_t *c)
 {
@@ -570,8 +582,8 @@
 
 /* ---- preemption ---- */
 
-/* The newest resumable job of the lowest tier below `tier`, above its
- * class's floor. */
+/* Finds a job to preempt: the newest job of the lowest tier below `tier`, of a
+ * class that is resumable and runs more jobs than its floor. */
 static job_t *
 find_victim(scheduler_t *s, int tier, gint64 now_us)
 {
@@ -596,6 +608,7 @@
     return victim;
 }
 
+/* Requests preemptions for the waiting tickets of a protected class. */
 static void
 preempt_for(scheduler_t *s, class_state_t *c, gint64 now_us, GArray *actions)
 {
@@ -604,7 +617,7 @@
     if (!c->spec.protect || waited < min_wait_us) {
         return;
     }
-    /* What comes free by itself in time need not be taken from anyone. */
+    /* Slots that are expected to come free in time need no preemption. */
     gint64 slack = MAX(c->spec.first_token_us / 2 - waited, 0);
     double expected_releases =
         s->release_rate * (double)slack / (double)DEMAND_WINDOW_US;
@@ -638,7 +651,8 @@
     }
     for (guint i = 0; i < s->count; i++) {
         class_state_t *c = &s->classes[i];
-        /* What is free may be headroom for those above: no use to it. */
+        /* Free slots may be headroom of higher tiers, which this class cannot
+         * use. */
         gboolean blocked =
             class_free_slots(s, c) <= scheduler_headroom(s, c->spec.tier);
         if (c->waiting.by_arrival.length > 0 && blocked) {
@@ -733,7 +747,7 @@
     g_hash_table_remove(s->jobs, &id);
 }
 
-/* Takes a running job out of its class. */
+/* Removes a running job from its class. */
 static void
 job_stop(scheduler_t *s, job_t *job)
 {
@@ -780,7 +794,9 @@
         job_t *job = (job_t *)node;
         class_state_t *c = &s->classes[job->ticket.class_index];
         if (!may_refuse(s, c) || job->ticket.done_tokens > 0) {
-            /* It waits on for lower work to yield; looked at again soon. */
+            /* The job keeps waiting, for lower tiers to free a slot or because
+             * its answer has begun. It is checked again after
+             * first_token_us. */
             job->deadline.key = (double)(now_us + c->spec.first_token_us + 1);
             heap_update(&s->deadlines, node);
             continue;
@@ -792,7 +808,7 @@
     }
 }
 
-/* A pool whose last endpoint is gone tells its callers at once. */
+/* Refuses all waiting tickets when the pool has no endpoints. */
 static void
 refuse_all(scheduler_t *s, gint64 now_us, GArray *actions)
 {
@@ -817,7 +833,7 @@
     scheduler_grant(s, now_us, actions);
 }
 
-/* Ends a job whose entry no longer knows it. */
+/* Ends a job that its entry instance no longer knows. */
 static void
 job_drop(scheduler_t *s, job_t *job, gint64 now_us)
 {
