--- a/include/carobloom/policy/endpoint.h
+++ b/include/carobloom/policy/endpoint.h
@@ -1,5 +1,5 @@
-/* One endpoint as this instance knows it: what runs there, how well it is, and
- * which parts of prompts it keeps. Pure. */
+/* State of one endpoint at this instance: its load, its health, and the prompt
+ * parts that it likely caches. Pure. */
 #ifndef CAROBLOOM_POLICY_ENDPOINT_H
 #define CAROBLOOM_POLICY_ENDPOINT_H
 
@@ -7,75 +7,80 @@
 #include "carobloom/policy/load_sum.h"
 #include "carobloom/policy/part_set.h"
 
-/* How a request at an endpoint went, for its health. */
+/* Outcome of a request at an endpoint, recorded for its health. */
 typedef enum {
     ENDPOINT_SERVED,
-    ENDPOINT_SERVER_ERROR, /* its own 5xx */
-    ENDPOINT_FULL,         /* refused, not run */
-    ENDPOINT_BROKEN,       /* reset, cut, no HTTP, or silent */
-    ENDPOINT_UNREACHABLE,  /* no connection */
-    ENDPOINT_MISDIRECTED,  /* another one has the address */
+    ENDPOINT_SERVER_ERROR, /* answered 5xx itself */
+    ENDPOINT_FULL,         /* refused the request without running it */
+    ENDPOINT_BROKEN,       /* reset, cut off, not HTTP, or no data in time */
+    ENDPOINT_UNREACHABLE,  /* connecting failed */
+    ENDPOINT_MISDIRECTED,  /* another endpoint has the address */
 } endpoint_outcome_t;
 
-/* One endpoint, with what this instance knows of its load and health. */
+/* One incarnation of an endpoint, with its load and health. */
 typedef struct {
     char *id;
-    GRefString *service; /* one copy for all that have it */
+    GRefString *service; /* interned, shared by the endpoints of a service */
     char *address;
     GRefString *data_centre;
     guint slots;
-    gint64 started_ms; /* which start of it */
-    guint64 hash;      /* of the id and the start */
+    gint64 started_ms; /* Unix time; identifies the incarnation */
+    guint64 hash;      /* of the id and the incarnation */
     gboolean draining;
     gboolean left;
     gboolean reclaimable;
-    gint64 fetchable_until_us;  /* it drains; its memory is there until then */
-    guint32 reported_by;        /* sources that hear its renewals */
-    gint64 unreported_until_us; /* though no source hears it just now */
+    gint64 fetchable_until_us; /* cached parts, while draining */
+    guint32 reported_by; /* bits of control instances that report its lease */
+    gint64 unreported_until_us; /* usable until then without a report */
     gint64 cold_until_us;
-    /* this instance's own requests there */
-    gint64 last_served_us; /* when one was last answered there; 0: never */
+    /* requests of this instance */
+    gint64 last_served_us; /* time of the last answer, 0: never */
     guint running;
-    guint32 waiting_tokens; /* that they wait for to be read */
-    guint32 prompt_tokens;  /* of all these requests' whole prompts */
-    guint long_running;     /* of them, those with long prompts */
+    guint32 waiting_tokens; /* prompt tokens that are not read yet */
+    guint32 prompt_tokens;  /* of the whole prompts of all running requests */
+    guint long_running;     /* running requests with long prompts */
     guint32 long_waiting;
-    endpoint_load_t others;   /* of the other entry instances, as last told */
-    gboolean has_others_load; /* they were told of */
+    endpoint_load_t others;   /* of other entry instances, as reported */
+    gboolean has_others_load; /* `others` holds a reported load */
     /* health */
-    double failures;         /* decaying share of failed requests */
-    gint64 backoff_until_us; /* gets nothing until then */
+    double failures;         /* decaying fraction of failed requests */
+    gint64 backoff_until_us; /* no requests until then */
     gint64 backoff_us;
     gint64 full_until_us;
     gint64 full_backoff_us;
-    endpoint_limit_t *limit; /* NULL: it never named one */
-    part_set_t parts;        /* of prompts sent there lately */
-    void *connections;       /* the owner's */
+    endpoint_limit_t *limit; /* NULL: the endpoint never named a limit */
+    part_set_t parts;        /* of prompts that were recently sent there */
+    void *connections;       /* owned by the caller */
 } endpoint_t;
 
-/* Whether it may be sent new work at all. */
+/* Whether the endpoint may get new requests: it has not left, does not drain,
+ * and its lease is reported or was until recently. */
 gboolean endpoint_usable(const endpoint_t *endpoint, gint64 now_us);
-/* Whether it drains, but others can still fetch from its memory. */
+/* Whether the endpoint drains but other endpoints can still fetch cached parts
+ * from its memory. */
 gboolean endpoint_fetchable(const endpoint_t *endpoint, gint64 now_us);
-/* Requests of all instances there, as far as told; prompt tokens that wait to
- * be read for them. */
+/* Requests of all instances that run at the endpoint, and their prompt tokens
+ * that are not read yet, as far as they are reported. */
 guint endpoint_running(const endpoint_t *endpoint);
 guint endpoint_waiting_tokens(const endpoint_t *endpoint);
-/* Whether this instance most likely has an open connection to it. */
+/* Whether this instance likely has an open connection to the endpoint. */
 gboolean endpoint_connected(const endpoint_t *endpoint, gint64 now_us);
-/* One of this instance's requests goes there, `waiting_tokens` of whose prompt
- * have to be read. */
+/* Records that this instance sends a request there. `waiting_tokens` of its
+ * prompt are not cached and have to be read. */
 void endpoint_add_request(endpoint_t *endpoint, guint prompt_tokens,
                           guint waiting_tokens);
-/* Its prompt is read. */
+/* Records that the request's prompt was read. */
 void endpoint_end_prefill(endpoint_t *endpoint, guint prompt_tokens,
                           guint waiting_tokens);
-/* It is over there. */
+/* Records that the request ended. */
 void endpoint_remove_request(endpoint_t *endpoint, guint prompt_tokens);
-/* Whether its health lets it take work just now. */
+/* Whether the endpoint accepts requests: no backoff after failures or
+ * refusals is in force. */
 gboolean endpoint_available(const endpoint_t *endpoint, gint64 now_us);
+/* Records an outcome in the endpoint's health and starts or ends backoff. */
 void endpoint_record_outcome(endpoint_t *endpoint, endpoint_outcome_t outcome,
                              gint64 now_us);
+/* Whether the prompt part was recently sent to the endpoint. */
 gboolean endpoint_has_part(const endpoint_t *endpoint, guint64 part);
 
 #endif
--- a/include/carobloom/policy/endpoint_end.h
+++ b/include/carobloom/policy/endpoint_end.h
@@ -1,38 +1,40 @@
-/* An endpoint whose process ended without having said that it leaves, and the
- * requests that ran there. */
+/* The end of an endpoint's process that did not announce that it leaves, and
+ * the requests that were running there. */
 #ifndef CAROBLOOM_POLICY_ENDPOINT_END_H
 #define CAROBLOOM_POLICY_ENDPOINT_END_H
 
 #include <glib.h>
 
-/* Requests of one end that are remembered: twice the slots of the largest
- * engine. */
+/* Requests recorded per end: twice the slots of the largest engine. */
 enum { ENDPOINT_RUNS_MAX = 128 };
 
-/* How far a request was when its endpoint ended. */
+/* Progress of a request when its endpoint ended. */
 typedef enum {
-    RUN_BEGINNING, /* just begun, waiting, or not known */
-    RUN_LONG,      /* answered for a while by then */
-    RUN_ANSWERED,  /* the same request was answered whole shortly before */
-    RUN_PROBE,     /* just begun, and sent on trial: see quarantine.h */
+    RUN_BEGINNING, /* just started, waiting, or unknown */
+    RUN_LONG,      /* had been answered for a while */
+    RUN_ANSWERED,  /* the same request got a whole answer shortly before */
+    RUN_PROBE,     /* just started, and sent as a probe: see quarantine.h */
     RUN_STAGE_COUNT,
 } run_stage_t;
 
+/* A request that was running when its endpoint ended. */
 typedef struct {
     guint64 fingerprint;
     run_stage_t stage;
 } interrupted_run_t;
 
+/* The end of one incarnation of an endpoint. */
 typedef struct {
-    char *endpoint;    /* its id */
-    gint64 started_ms; /* which start of it; 0 where not said */
-    GArray *runs;      /* interrupted_run_t, each fingerprint once */
+    char *endpoint;    /* endpoint id */
+    gint64 started_ms; /* Unix time; identifies the incarnation, 0: unknown */
+    GArray *runs;      /* interrupted_run_t, with distinct fingerprints */
 } endpoint_end_t;
 
+/* Initializes an end without runs, and frees its contents. */
 void endpoint_end_init(endpoint_end_t *end, const char *endpoint,
                        gint64 started_ms);
 void endpoint_end_clear(endpoint_end_t *end);
-/* Adds a run unless its fingerprint is there. FALSE when it was. */
+/* Adds a run. Returns FALSE if its fingerprint is already listed. */
 gboolean endpoint_end_add(endpoint_end_t *end, interrupted_run_t run);
 
 #endif
--- a/include/carobloom/policy/registry.h
+++ b/include/carobloom/policy/registry.h
@@ -1,37 +1,45 @@
-/* The leases of endpoints, as one control instance hears them. Pure.
+/* Leases of endpoints, as renewed at one control instance. Pure.
  *
- * Kept in memory only: after a restart every live endpoint is heard again
- * within a heartbeat. */
+ * The leases are kept in memory only: after a restart every live endpoint
+ * renews its lease within a heartbeat interval. */
 #ifndef CAROBLOOM_POLICY_REGISTRY_H
 #define CAROBLOOM_POLICY_REGISTRY_H
 
 #include "carobloom/policy/directory.h"
 
+/* Result of a renewal. Only an accepted one changes the registry. */
 typedef enum {
     REGISTRY_ACCEPTED,
-    REGISTRY_STALE, /* an older call that came late; nothing changed */
-    REGISTRY_LEFT,  /* this start of it has left */
-    REGISTRY_OLD_INCARNATION, /* of a start before the one that is known */
+    REGISTRY_STALE,           /* out of order: a newer renewal came before */
+    REGISTRY_LEFT,            /* this incarnation has left */
+    REGISTRY_OLD_INCARNATION, /* the lease has a later incarnation */
 } registry_result_t;
 
 typedef struct registry registry_t;
 
+/* Creates a registry. `heartbeat_us` is the interval at which endpoints
+ * renew. */
 registry_t *registry_create(gint64 heartbeat_us);
 void registry_destroy(registry_t *registry);
+/* Adds a lease or renews it. The lease is copied. */
 registry_result_t registry_renew(registry_t *registry,
                                  const endpoint_lease_t *lease, gint64 now_us);
-/* The start at `started_ms` of an endpoint ends its lease; 0: the one known,
- * or, of one never heard here, all that began before `wall_ms` (Unix time). */
+/* Ends the lease of the incarnation of an endpoint that started at
+ * `started_ms`. If that is 0, the known incarnation has left, or, for an
+ * unknown endpoint, all that started before `wall_ms` (Unix time). */
 void registry_leave(registry_t *registry, const char *id, gint64 started_ms,
                     gint64 wall_ms, gint64 now_us);
-/* Marks silent what was not renewed in time; TRUE when something changed. */
+/* Marks leases silent that were not renewed in time, and drops old ones.
+ * Returns TRUE if a lease became silent. */
 gboolean registry_expire(registry_t *registry, gint64 now_us);
-/* Raised with each change. */
+/* Number of the last change; increases with each change. */
 guint64 registry_cursor(const registry_t *registry);
-/* Copies of the `max_count` leases that changed first after `cursor`, or of
- * all for 0. `through` becomes the cursor up to which they are told. */
+/* Copies of the leases that changed after `cursor` (0: all leases), oldest
+ * change first, at most `max_count`. `through` is set to the cursor up to
+ * which the changes are included. */
 GPtrArray *registry_changes_since(const registry_t *registry, guint64 cursor,
                                   guint max_count, guint64 *through);
+/* Number of leases, those that are silent or left included. */
 guint registry_count(const registry_t *registry);
 
 #endif
--- a/policy/endpoint.c
+++ b/policy/endpoint.c
@@ -6,17 +6,17 @@
     SECOND_US = 1000 * 1000,
     BACKOFF_MIN_US = 300 * 1000,
     BACKOFF_MAX_US = 4 * SECOND_US,
-    /* A refusal says that its queue is full; it drains a few requests in such
-     * a time. */
+    /* A refusal means that the endpoint's queue is full. The queue drains a
+     * few requests in this time. */
     FULL_BACKOFF_MIN_US = 100 * 1000,
     FULL_BACKOFF_MAX_US = 3 * SECOND_US,
     MISDIRECTED_BACKOFF_US = 30 * SECOND_US,
-    /* Endpoints close connections that rest; few do within so long. */
+    /* Endpoints close idle connections, but few do so within this time. */
     IDLE_CONNECTION_US = 4 * SECOND_US,
 };
 
-/* The weight of the newest request in the share of failures: about the last
- * twenty count. */
+/* Weight of the newest request in the fraction of failures: about the last
+ * twenty requests count. */
 static const double FAILURE_WEIGHT = 0.08;
 
 gboolean
@@ -86,7 +86,7 @@
     e->long_running -= prompt_is_long(prompt_tokens);
 }
 
-/* Twice as long for each failure in a row. */
+/* Starts a backoff, twice as long for each failure in a row. */
 static void
 endpoint_back_off(endpoint_t *e, gint64 now_us)
 {
@@ -116,7 +116,8 @@
         e->full_backoff_us = 0;
         break;
     case ENDPOINT_FULL:
-        /* One that refuses all looks idle: it must not draw all requests. */
+        /* An endpoint that refuses all requests looks idle, and without a
+         * backoff it would attract all of them. */
         e->full_backoff_us = CLAMP(e->full_backoff_us * 2, FULL_BACKOFF_MIN_US,
                                    FULL_BACKOFF_MAX_US);
         e->full_until_us = now_us + e->full_backoff_us;
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -3,11 +3,10 @@
 #include <math.h>
 
 static const double SMOOTHING = 0.2;
-static const double IDLE_COST = 0.5;  /* of a full endpoint's token time */
-static const double SLOW_RATIO = 2.0; /* against the median: straggler */
-static const double RECOVERED_RATIO = 1.5; /* and back */
-static const double EJECTED_MAX_FRACTION =
-    0.34; /* never more of a pool at once */
+static const double IDLE_COST = 0.5;       /* relative to a full endpoint */
+static const double SLOW_RATIO = 2.0;      /* of the median: a straggler */
+static const double RECOVERED_RATIO = 1.5; /* of the median: recovered */
+static const double EJECTED_MAX_FRACTION = 0.34; /* of a pool, at once */
 enum {
     FAILURES_TO_EJECT = 2,
     SPEED_SAMPLES_MIN = 3,
@@ -17,7 +16,7 @@
 static const gint64 BACKOFF_MIN_US = 1 * G_USEC_PER_SEC;
 static const gint64 BACKOFF_MAX_US = 30 * G_USEC_PER_SEC;
 
-/* Who was last known to hold a prefix. */
+/* Endpoints that most recently cached a prefix, newest first. */
 typedef struct {
     guint64 prefix;
     guint64 endpoints[PREFIX_ENDPOINTS_MAX];
@@ -26,10 +25,10 @@
 
 struct endpoint_set {
     GHashTable *by_id; /* id -> endpoint_state_t */
-    heap_t healthy;    /* healthy_only, with a free slot, least loaded first */
-    heap_t degraded;   /* the same of stragglers and those probed */
+    heap_t healthy;    /* endpoints with a free slot, by load */
+    heap_t degraded;   /* the same for stragglers and probed endpoints */
     GHashTable *prefixes;
-    GQueue prefix_order; /* oldest first, bounds the table */
+    GQueue prefix_order; /* least recently used first, to bound the table */
     guint slots;
     guint free;
     guint degraded_free;
@@ -60,7 +59,7 @@
     g_free(set);
 }
 
-/* Slots the endpoint may fill in its present health. */
+/* Slots that the endpoint may use in its current health. */
 static guint
 usable_slots(const endpoint_state_t *e)
 {
@@ -86,8 +85,9 @@
     return usable > used ? usable - used : 0;
 }
 
-/* What a token takes there against elsewhere: a stream alone still needs its
- * part of it, so a straggler is chosen only when nothing better is free. */
+/* Estimated time per token at an endpoint relative to the others. A token
+ * takes time at an idle endpoint too (IDLE_COST), so a straggler is chosen
+ * only when nothing better is free. */
 static double
 load_key(const endpoint_set_t *set, const endpoint_state_t *e)
 {
@@ -106,7 +106,7 @@
     return e->health != ENDPOINT_OK;
 }
 
-/* Takes the endpoint out of the sums and its heap before a change. */
+/* Removes an endpoint from the sums and its heap before a change. */
 static void
 endpoint_detach(endpoint_set_t *set, endpoint_state_t *e)
 {
@@ -118,7 +118,7 @@
     }
 }
 
-/* Puts it back after it, at its place. */
+/* Adds the endpoint to the sums and its heap again after a change. */
 static void
 endpoint_attach(endpoint_set_t *set, endpoint_state_t *e)
 {
@@ -142,7 +142,7 @@
     e->history_next++;
 }
 
-/* What was in flight here when a report was taken. */
+/* Requests of this owner that were in flight when a report was made. */
 static guint
 inflight_at(const endpoint_state_t *e, gint64 at_us)
 {
@@ -154,7 +154,8 @@
             return s->inflight;
         }
     }
-    /* Older than what is remembered: assume nothing is foreign. */
+    /* The report is older than the history: assume that all its requests are
+     * this owner's. */
     return count == ENDPOINT_HISTORY ? G_MAXUINT : 0;
 }
 
@@ -222,7 +223,7 @@
                     double token_us, gint64 at_us)
 {
     endpoint_state_t *e = g_hash_table_lookup(set->by_id, &id);
-    /* A report that is not newer than the last one tells nothing. */
+    /* Reports may arrive out of order: only a newer one counts. */
     if (e == NULL || at_us <= e->last_report_us) {
         return;
     }
@@ -279,7 +280,7 @@
     }
 }
 
-/* An endpoint that can take one more, or NULL. */
+/* The endpoint if it has a free slot, else NULL. */
 static endpoint_state_t *
 find_free(const endpoint_set_t *set, guint64 id, gboolean healthy_only)
 {
@@ -290,7 +291,8 @@
     return e;
 }
 
-/* The first of a heap other than `avoid`, if there is another. */
+/* The least loaded endpoint of a heap other than `avoid`, or `avoid` if it is
+ * the only one. */
 static endpoint_state_t *
 least_loaded_in(const heap_t *heap, guint64 avoid)
 {
@@ -369,6 +371,8 @@
     return count;
 }
 
+/* Whether one more endpoint may be degraded: at most EJECTED_MAX_FRACTION of
+ * the pool, or one endpoint of a small pool, but never its only endpoint. */
 static gboolean
 may_eject(const endpoint_set_t *set)
 {
--- a/policy/registry.c
+++ b/policy/registry.c
@@ -2,7 +2,8 @@
 
 #include <string.h>
 
-/* Three heartbeats may be lost, and one be late by so much. */
+/* A lease becomes silent after three lost heartbeats plus the delay that a
+ * heartbeat may have, and is dropped after RETENTION_US. */
 enum {
     MISSED_HEARTBEATS_MAX = 3,
     HEARTBEAT_DELAY_MAX_US = 1500 * 1000,
@@ -11,16 +12,16 @@
 
 typedef struct {
     endpoint_lease_t lease;
-    lease_state_t reported_state; /* before it fell silent */
+    lease_state_t reported_state; /* by the endpoint, also once silent */
     gint64 renewed_us;
-    guint64 change_cursor; /* the cursor at its last change */
+    guint64 change_cursor; /* registry's cursor at the last change */
     GList *link;
 } lease_entry_t;
 
 struct registry {
     gint64 silence_timeout_us;
     GHashTable *by_id; /* lease_entry_t, owned */
-    GQueue changes;    /* lease_entry_t, the last changed at the tail */
+    GQueue changes;    /* lease_entry_t, newest change at the tail */
     guint64 cursor;
 };
 
@@ -105,7 +106,7 @@
         endpoint_lease_t copy;
         endpoint_lease_copy(&copy, lease);
         g_free(copy.id);
-        copy.id = id; /* the table's key */
+        copy.id = id; /* the key of the table */
         entry->lease.id = NULL;
         endpoint_lease_clear(&entry->lease);
         entry->lease = copy;
@@ -129,7 +130,7 @@
         entry = lease_entry_add(r, &lease);
     }
     if (started_ms > 0 && started_ms < entry->lease.started_ms) {
-        return; /* it has started again meanwhile */
+        return; /* a later incarnation has renewed */
     }
     entry->lease.started_ms = MAX(entry->lease.started_ms, started_ms);
     if (entry->lease.state != LEASE_LEFT || entry->change_cursor == 0) {
