--- a/policy/lifecycle.c
+++ b/policy/lifecycle.c
@@ -40,8 +40,8 @@
     return lifecycle->repeatable && lifecycle->resume;
 }
 
-/* One row: in `state`, on `event`, if `guard` allows, go to `next`. The first
- * row that fits is taken. */
+/* One transition: in `state`, on `event`, if `guard` allows it, go to `next`.
+ * The first row that matches is applied. */
 typedef struct {
     lifecycle_state_t state;
     lifecycle_event_t event;
@@ -140,8 +140,7 @@
         lifecycle->attempts++;
     }
     if (t->event == LIFECYCLE_EVENT_PREEMPT) {
-        lifecycle
-            ->attempts--; /* not the endpoint's fault: no attempt is used */
+        lifecycle->attempts--; /* does not count: the endpoint did not fail */
     }
 }
 
--- a/policy/sse.c
+++ b/policy/sse.c
@@ -15,7 +15,8 @@
     sse->pending = NULL;
 }
 
-/* Length of the event at the start of `s` with its blank line, or 0. */
+/* Length of the event at the start of `s` including its blank line, 0 if it is
+ * incomplete. */
 static gsize
 event_length(str_t s)
 {
@@ -38,7 +39,8 @@
     return 0;
 }
 
-/* Appends the value of each data line of `event` to `out`. */
+/* Appends the values of the data lines of `event` to `out`, joined by
+ * newlines. */
 static void
 collect_data(str_t event, GString *out)
 {
