--- a/include/carobloom/policy/scheduler.h
+++ b/include/carobloom/policy/scheduler.h
@@ -23,7 +23,7 @@
     guint64 team; /* hash of the team's name */
     double team_weight;
     guint prompt_tokens;
-    guint64 prefix;    /* hash of the prompt's first tokens, 0: none */
+    guint64 prefix;    /* hash of the prompt's start, 0: none */
     guint64 avoid;     /* endpoint that just failed the request, 0: none */
     guint done_tokens; /* already sent to the caller, if resumed */
     guint preemptions; /* number of preemptions so far */
