--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -6,14 +6,14 @@
 
 enum { SEEDS = 60, EVENTS = 4000, CLASSES = 5, ENDPOINTS = 6, TICKETS = 8192 };
 
-typedef enum { NONE, WAITING, RUNNING, OVER } place_t;
+typedef enum { NONE, WAITING, RUNNING, ENDED } ticket_state_t;
 
 typedef struct {
-    place_t place;
+    ticket_state_t state;
     guint class_index;
     guint64 endpoint;
     ticket_t ticket;
-} seen_t;
+} model_ticket_t;
 
 typedef struct {
     scheduler_t *scheduler;
@@ -21,34 +21,34 @@
     GArray *actions;
     gint64 now;
     class_spec_t classes[CLASSES];
-    seen_t seen[TICKETS];
+    model_ticket_t tickets[TICKETS];
     guint next;
     guint slots[ENDPOINTS];
     guint used[ENDPOINTS];
-    gboolean gone[ENDPOINTS];
+    gboolean removed[ENDPOINTS];
     guint granted[CLASSES];
     guint preempted;
     guint refused;
-    const char *wrong;
+    const char *violation;
 } model_t;
 
 static guint
-running_below(const model_t *m, int tier)
+count_running_below(const model_t *m, int tier)
 {
     guint count = 0;
     for (guint i = 1; i < m->next; i++) {
-        count += m->seen[i].place == RUNNING &&
-                 m->classes[m->seen[i].class_index].tier > tier;
+        count += m->tickets[i].state == RUNNING &&
+                 m->classes[m->tickets[i].class_index].tier > tier;
     }
     return count;
 }
 
 static gboolean
-protected_waits_above(const model_t *m, int tier)
+protected_waiting_above(const model_t *m, int tier)
 {
     for (guint i = 1; i < m->next; i++) {
-        const class_spec_t *c = &m->classes[m->seen[i].class_index];
-        if (m->seen[i].place == WAITING && c->protect && c->tier < tier) {
+        const class_spec_t *c = &m->classes[m->tickets[i].class_index];
+        if (m->tickets[i].state == WAITING && c->protect && c->tier < tier) {
             return TRUE;
         }
     }
@@ -56,60 +56,60 @@
 }
 
 static void
-check_grant(model_t *m, const action_t *a, seen_t *s)
+check_grant(model_t *m, const action_t *a, model_ticket_t *s)
 {
     guint at = (guint)a->endpoint - 1;
-    if (s->place != WAITING) {
-        m->wrong = "granted what does not wait";
+    if (s->state != WAITING) {
+        m->violation = "granted what does not wait";
     }
-    if (m->gone[at]) {
-        m->wrong = "granted at an endpoint that left";
+    if (m->removed[at]) {
+        m->violation = "granted at an endpoint that left";
     }
     if (++m->used[at] > m->slots[at]) {
-        m->wrong = "granted beyond an endpoint's slots";
+        m->violation = "granted beyond an endpoint's slots";
     }
-    s->place = RUNNING;
+    s->state = RUNNING;
     s->endpoint = a->endpoint;
     m->granted[s->class_index]++;
 }
 
 static void
-check_preempt(model_t *m, const seen_t *s)
+check_preempt(model_t *m, const model_ticket_t *s)
 {
     const class_spec_t *c = &m->classes[s->class_index];
-    if (s->place != RUNNING || !c->resume) {
-        m->wrong = "preempted what can not be resumed";
+    if (s->state != RUNNING || !c->resume) {
+        m->violation = "preempted what can not be resumed";
     }
-    if (!protected_waits_above(m, c->tier)) {
-        m->wrong = "preempted for nothing above it";
+    if (!protected_waiting_above(m, c->tier)) {
+        m->violation = "preempted for nothing above it";
     }
     m->preempted++;
 }
 
 static void
-check_refuse(model_t *m, seen_t *s, const action_t *a)
+check_refuse(model_t *m, model_ticket_t *s, const action_t *a)
 {
     const class_spec_t *c = &m->classes[s->class_index];
     if (c->protect && a->reason == REFUSE_DEADLINE &&
-        running_below(m, c->tier) > 0) {
-        m->wrong = "refused a protected ticket while lower work ran";
+        count_running_below(m, c->tier) > 0) {
+        m->violation = "refused a protected ticket while lower work ran";
     }
     if (a->retry_after_us < G_USEC_PER_SEC) {
-        m->wrong = "refused without a time to come back";
+        m->violation = "refused without a time to come back";
     }
-    s->place = OVER;
+    s->state = ENDED;
     m->refused++;
 }
 
 static void end_ticket(model_t *m, guint at, settle_result_t result);
 
 static void
-take_actions(model_t *m)
+apply_actions(model_t *m)
 {
-    while (m->actions->len > 0 && m->wrong == NULL) {
+    while (m->actions->len > 0 && m->violation == NULL) {
         action_t a = g_array_index(m->actions, action_t, 0);
         g_array_remove_index(m->actions, 0);
-        seen_t *s = &m->seen[a.ticket];
+        model_ticket_t *s = &m->tickets[a.ticket];
         switch (a.type) {
         case ACTION_GRANT:
             check_grant(m, &a, s);
@@ -119,7 +119,7 @@
             end_ticket(m, (guint)a.ticket, SETTLE_CANCELLED);
             s->ticket.preemptions++;
             s->ticket.done_tokens += 10;
-            s->place = WAITING;
+            s->state = WAITING;
             scheduler_submit(m->scheduler, &s->ticket, m->now, m->actions);
             break;
         case ACTION_REFUSE:
@@ -132,23 +132,23 @@
 static void
 end_ticket(model_t *m, guint at, settle_result_t result)
 {
-    seen_t *s = &m->seen[at];
+    model_ticket_t *s = &m->tickets[at];
     settlement_t settlement = {
         .result = result, .tokens = 50, .token_us = 20000};
-    s->place = OVER;
+    s->state = ENDED;
     m->used[s->endpoint - 1]--;
     scheduler_settle(m->scheduler, at, &settlement, m->now, m->actions);
 }
 
 static void
-submit_some(model_t *m)
+submit_random(model_t *m)
 {
     if (m->next >= TICKETS) {
         return;
     }
-    seen_t *s = &m->seen[m->next];
+    model_ticket_t *s = &m->tickets[m->next];
     s->class_index = (guint)g_rand_int_range(m->rand, 0, CLASSES);
-    s->place = WAITING;
+    s->state = WAITING;
     s->ticket = (ticket_t){
         .id = m->next,
         .class_index = s->class_index,
@@ -163,12 +163,12 @@
 }
 
 static guint
-some_in(model_t *m, place_t place)
+random_ticket_in(model_t *m, ticket_state_t state)
 {
     guint start = (guint)g_rand_int_range(m->rand, 1, (gint)MAX(m->next, 2));
     for (guint i = 0; i + 1 < m->next; i++) {
         guint at = 1 + (start + i) % (m->next - 1);
-        if (m->seen[at].place == place) {
+        if (m->tickets[at].state == state) {
             return at;
         }
     }
@@ -176,27 +176,27 @@
 }
 
 static void
-endpoint_event(model_t *m)
+random_endpoint_event(model_t *m)
 {
     guint at = (guint)g_rand_int_range(m->rand, 0, ENDPOINTS);
     endpoint_set_t *set = scheduler_endpoints(m->scheduler);
-    if (m->gone[at] || m->used[at] > 0) {
+    if (m->removed[at] || m->used[at] > 0) {
         endpoint_set_report(set, at + 1,
                             (guint)g_rand_int_range(m->rand, 0, 6),
                             g_rand_double_range(m->rand, 1e4, 9e4), m->now);
-        if (!m->gone[at]) {
+        if (!m->removed[at]) {
             return;
         }
-        m->gone[at] = FALSE;
+        m->removed[at] = FALSE;
         endpoint_set_put(set, at + 1, m->slots[at], m->now);
         return;
     }
-    m->gone[at] = TRUE;
+    m->removed[at] = TRUE;
     endpoint_set_remove(set, at + 1);
 }
 
 static void
-one_event(model_t *m)
+random_event(model_t *m)
 {
     guint at;
     m->now += g_rand_int_range(m->rand, 1, 30000);
@@ -207,34 +207,34 @@
     case 3:
     case 12:
     case 13: /* more arrives than is served, so that some is refused */
-        submit_some(m);
+        submit_random(m);
         break;
     case 4:
     case 5:
     case 6:
-        if ((at = some_in(m, RUNNING)) != 0) {
+        if ((at = random_ticket_in(m, RUNNING)) != 0) {
             end_ticket(m, at, SETTLE_COMPLETE);
         }
         break;
     case 7:
-        if ((at = some_in(m, RUNNING)) != 0) {
+        if ((at = random_ticket_in(m, RUNNING)) != 0) {
             end_ticket(m, at, SETTLE_FAILED);
         }
         break;
     case 8:
-        if ((at = some_in(m, WAITING)) != 0) {
-            m->seen[at].place = OVER;
+        if ((at = random_ticket_in(m, WAITING)) != 0) {
+            m->tickets[at].state = ENDED;
             scheduler_cancel(m->scheduler, at);
         }
         break;
     case 9:
-        endpoint_event(m);
+        random_endpoint_event(m);
         scheduler_grant(m->scheduler, m->now, m->actions);
         break;
     case 10:
         /* Sent again: nothing may change, or the same grant comes again. */
-        if ((at = some_in(m, WAITING)) != 0) {
-            scheduler_submit(m->scheduler, &m->seen[at].ticket, m->now,
+        if ((at = random_ticket_in(m, WAITING)) != 0) {
+            scheduler_submit(m->scheduler, &m->tickets[at].ticket, m->now,
                              m->actions);
         }
         break;
@@ -242,7 +242,7 @@
         scheduler_tick(m->scheduler, m->now, m->actions);
         break;
     }
-    take_actions(m);
+    apply_actions(m);
 }
 
 static void
@@ -271,11 +271,11 @@
         endpoint_set_put(scheduler_endpoints(m->scheduler), i + 1, m->slots[i],
                          m->now);
     }
-    for (guint i = 0; i < EVENTS && m->wrong == NULL; i++) {
-        one_event(m);
+    for (guint i = 0; i < EVENTS && m->violation == NULL; i++) {
+        random_event(m);
     }
-    if (m->wrong != NULL) {
-        printf("seed %u: %s\n", seed, m->wrong);
+    if (m->violation != NULL) {
+        printf("seed %u: %s\n", seed, m->violation);
         CU_FAIL("an invariant is broken");
     }
     for (guint i = 0; i < CLASSES; i++) {
