--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -1,4 +1,5 @@
-/* The invariants of the decisions, over seeded random orders of events. */
+/* Checks the invariants of the scheduler's decisions over seeded random
+ * sequences of events, against a model of its tickets and endpoints. */
 #include <string.h>
 
 #include "carobloom/policy/scheduler.h"
@@ -56,48 +57,50 @@
 }
 
 static void
-check_grant(model_t *m, const action_t *a, model_ticket_t *s)
+check_grant(model_t *m, const action_t *a, model_ticket_t *t)
 {
     guint at = (guint)a->endpoint - 1;
-    if (s->state != WAITING) {
-        m->violation = "granted what does not wait";
+    if (t->state != WAITING) {
+        m->violation = "granted a ticket that is not waiting";
     }
     if (m->removed[at]) {
-        m->violation = "granted at an endpoint that left";
+        m->violation = "granted at an endpoint that was removed";
     }
     if (++m->used[at] > m->slots[at]) {
-        m->violation = "granted beyond an endpoint's slots";
+        m->violation = "granted more than the slots of an endpoint";
     }
-    s->state = RUNNING;
-    s->endpoint = a->endpoint;
-    m->granted[s->class_index]++;
+    t->state = RUNNING;
+    t->endpoint = a->endpoint;
+    m->granted[t->class_index]++;
 }
 
 static void
-check_preempt(model_t *m, const model_ticket_t *s)
+check_preempt(model_t *m, const model_ticket_t *t)
 {
-    const class_spec_t *c = &m->classes[s->class_index];
-    if (s->state != RUNNING || !c->resume) {
-        m->violation = "preempted what can not be resumed";
+    const class_spec_t *c = &m->classes[t->class_index];
+    if (t->state != RUNNING || !c->resume) {
+        m->violation =
+            "preempted a ticket that is not running or cannot be resumed";
     }
     if (!protected_waiting_above(m, c->tier)) {
-        m->violation = "preempted for nothing above it";
+        m->violation = "preempted without a protected ticket waiting above";
     }
     m->preempted++;
 }
 
 static void
-check_refuse(model_t *m, model_ticket_t *s, const action_t *a)
+check_refuse(model_t *m, model_ticket_t *t, const action_t *a)
 {
-    const class_spec_t *c = &m->classes[s->class_index];
+    const class_spec_t *c = &m->classes[t->class_index];
     if (c->protect && a->reason == REFUSE_DEADLINE &&
         count_running_below(m, c->tier) > 0) {
-        m->violation = "refused a protected ticket while lower work ran";
+        m->violation =
+            "refused a protected ticket while lower tiers were running";
     }
     if (a->retry_after_us < G_USEC_PER_SEC) {
-        m->violation = "refused without a time to come back";
+        m->violation = "refused with a retry time below 1 s";
     }
-    s->state = ENDED;
+    t->state = ENDED;
     m->refused++;
 }
 
@@ -109,21 +112,21 @@
     while (m->actions->len > 0 && m->violation == NULL) {
         action_t a = g_array_index(m->actions, action_t, 0);
         g_array_remove_index(m->actions, 0);
-        model_ticket_t *s = &m->tickets[a.ticket];
+        model_ticket_t *t = &m->tickets[a.ticket];
         switch (a.type) {
         case ACTION_GRANT:
-            check_grant(m, &a, s);
+            check_grant(m, &a, t);
             break;
         case ACTION_PREEMPT:
-            check_preempt(m, s);
+            check_preempt(m, t);
             end_ticket(m, (guint)a.ticket, SETTLE_CANCELLED);
-            s->ticket.preemptions++;
-            s->ticket.done_tokens += 10;
-            s->state = WAITING;
-            scheduler_submit(m->scheduler, &s->ticket, m->now, m->actions);
+            t->ticket.preemptions++;
+            t->ticket.done_tokens += 10;
+            t->state = WAITING;
+            scheduler_submit(m->scheduler, &t->ticket, m->now, m->actions);
             break;
         case ACTION_REFUSE:
-            check_refuse(m, s, &a);
+            check_refuse(m, t, &a);
             break;
         }
     }
@@ -132,11 +135,11 @@
 static void
 end_ticket(model_t *m, guint at, settle_result_t result)
 {
-    model_ticket_t *s = &m->tickets[at];
+    model_ticket_t *t = &m->tickets[at];
     settlement_t settlement = {
         .result = result, .tokens = 50, .token_us = 20000};
-    s->state = ENDED;
-    m->used[s->endpoint - 1]--;
+    t->state = ENDED;
+    m->used[t->endpoint - 1]--;
     scheduler_settle(m->scheduler, at, &settlement, m->now, m->actions);
 }
 
@@ -146,12 +149,12 @@
     if (m->next >= TICKETS) {
         return;
     }
-    model_ticket_t *s = &m->tickets[m->next];
-    s->class_index = (guint)g_rand_int_range(m->rand, 0, CLASSES);
-    s->state = WAITING;
-    s->ticket = (ticket_t){
+    model_ticket_t *t = &m->tickets[m->next];
+    t->class_index = (guint)g_rand_int_range(m->rand, 0, CLASSES);
+    t->state = WAITING;
+    t->ticket = (ticket_t){
         .id = m->next,
-        .class_index = s->class_index,
+        .class_index = t->class_index,
         .team = (guint64)g_rand_int_range(m->rand, 1, 6),
         .team_weight = 1 + g_rand_int_range(m->rand, 0, 3),
         .prompt_tokens = 100,
@@ -159,7 +162,7 @@
         .arrived_us = m->now,
     };
     m->next++;
-    scheduler_submit(m->scheduler, &s->ticket, m->now, m->actions);
+    scheduler_submit(m->scheduler, &t->ticket, m->now, m->actions);
 }
 
 static guint
@@ -206,7 +209,7 @@
     case 2:
     case 3:
     case 12:
-    case 13: /* more arrives than is served, so that some is refused */
+    case 13: /* more arrivals than ends, so that some are refused */
         submit_random(m);
         break;
     case 4:
@@ -232,7 +235,7 @@
         scheduler_grant(m->scheduler, m->now, m->actions);
         break;
     case 10:
-        /* Sent again: nothing may change, or the same grant comes again. */
+        /* Submitting a ticket again changes nothing or repeats its grant. */
         if ((at = random_ticket_in(m, WAITING)) != 0) {
             scheduler_submit(m->scheduler, &m->tickets[at].ticket, m->now,
                              m->actions);
@@ -276,10 +279,10 @@
     }
     if (m->violation != NULL) {
         printf("seed %u: %s\n", seed, m->violation);
-        CU_FAIL("an invariant is broken");
+        CU_FAIL("the scheduler violated an invariant");
     }
     for (guint i = 0; i < CLASSES; i++) {
-        CU_ASSERT(m->granted[i] > 0); /* none starves */
+        CU_ASSERT(m->granted[i] > 0); /* no class starves */
         *granted += m->granted[i];
     }
     *preempted += m->preempted;
@@ -306,8 +309,8 @@
     CU_ASSERT(refused > 100);
 }
 
-/* Teams share a class by weight: one with many waiting does not crowd out
- * one with few. */
+/* Teams share a class by weight: a team with many waiting tickets does not
+ * crowd out a team with few. */
 static void
 test_teams_share(void)
 {
@@ -338,14 +341,15 @@
         settlement_t done = {.result = SETTLE_COMPLETE, .tokens = 100};
         scheduler_settle(s, id, &done, now, actions);
     }
-    /* By weight 1 to 3. */
+    /* The weights are 1 and 3. */
     printf("%u to %u ", served[1], served[2]);
     CU_ASSERT(served[2] >= 55 && served[2] <= 65);
     g_array_unref(actions);
     scheduler_destroy(s);
 }
 
-/* A lost settlement does not hold a slot for good. */
+/* A settlement message may be lost. Reconciliation with the entry instance's
+ * list of running tickets frees the slot. */
 static void
 test_lost_settlement(void)
 {
@@ -367,7 +371,7 @@
     CU_ASSERT_EQUAL(scheduler_reconcile(s, 7, &a.id, 1, 100, 100, actions), 0);
     CU_ASSERT_EQUAL(scheduler_reconcile(s, 7, &none, 0, 100, 100, actions), 1);
     CU_ASSERT_EQUAL(actions->len, 2);
-    /* And an entry that died gives all of its back. */
+    /* The slots of an entry instance that died are freed too. */
     scheduler_drop_entry(s, 7, 200, actions);
     CU_ASSERT_EQUAL(scheduler_running(s, 0), 0);
     g_array_unref(actions);
