--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -65,7 +65,7 @@
 }
 
 static void
-test_bucket_says_when(void)
+test_bucket_wait(void)
 {
     bucket_t b = {0};
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, 0), 0);
@@ -119,16 +119,16 @@
 typedef struct {
     int events;
     char data[256];
-} seen_t;
+} sse_result_t;
 
 static int
 on_event(str_t data, str_t raw, void *user)
 {
-    seen_t *seen = user;
+    sse_result_t *received = user;
     (void)raw;
-    seen->events++;
-    g_snprintf(seen->data, sizeof(seen->data), "%.*s", (int)data.length,
-               data.data);
+    received->events++;
+    g_snprintf(received->data, sizeof(received->data), "%.*s",
+               (int)data.length, data.data);
     return str_equal(data, STR("stop"));
 }
 
@@ -152,18 +152,18 @@
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
         for (gsize step = 1; step < 20; step += 6) {
             sse_t sse;
-            seen_t seen = {0};
+            sse_result_t received = {0};
             int result = SSE_OK;
             sse_init(&sse);
             gsize length = strlen(cases[i].text);
             for (gsize at = 0; at < length && result == SSE_OK; at += step) {
                 str_t part = {.data = cases[i].text + at,
                               .length = MIN(step, length - at)};
-                result = sse_feed(&sse, part, on_event, &seen);
+                result = sse_feed(&sse, part, on_event, &received);
             }
             CU_ASSERT_EQUAL(result, cases[i].result);
-            CU_ASSERT_EQUAL(seen.events, cases[i].events);
-            CU_ASSERT_STRING_EQUAL(seen.data, cases[i].last);
+            CU_ASSERT_EQUAL(received.events, cases[i].events);
+            CU_ASSERT_STRING_EQUAL(received.data, cases[i].last);
             sse_clear(&sse);
         }
     }
@@ -173,12 +173,12 @@
 test_sse_bounds_memory(void)
 {
     sse_t sse;
-    seen_t seen = {0};
+    sse_result_t received = {0};
     char *block = g_strnfill(64 * 1024, 'x');
     int result = SSE_OK;
     sse_init(&sse);
     for (int i = 0; i < 6 && result == SSE_OK; i++) {
-        result = sse_feed(&sse, str_from_cstr(block), on_event, &seen);
+        result = sse_feed(&sse, str_from_cstr(block), on_event, &received);
     }
     CU_ASSERT_EQUAL(result, SSE_ERROR_TOO_LONG);
     sse_clear(&sse);
@@ -189,42 +189,44 @@
  * dispatched once; and what is told not-run never left, unless the endpoint
  * itself said so. */
 static void
-test_life_at_most_once(void)
+test_lifecycle_at_most_once(void)
 {
     GRand *rand = g_rand_new_with_seed(11);
     for (int round = 0; round < 20000; round++) {
-        lifecycle_t life = {.repeatable = FALSE, .attempts_max = 3};
-        int dispatches_sent = 0;
-        gboolean left = FALSE;
-        gboolean said_not_run = FALSE;
-        lifecycle_apply(&life, LIFECYCLE_EVENT_ADMIT);
-        for (int i = 0; i < 30 && life.state != LIFECYCLE_DONE; i++) {
+        lifecycle_t lifecycle = {.repeatable = FALSE, .attempts_max = 3};
+        int dispatches = 0;
+        gboolean sent = FALSE;
+        gboolean answered_not_run = FALSE;
+        lifecycle_apply(&lifecycle, LIFECYCLE_EVENT_ADMIT);
+        for (int i = 0; i < 30 && lifecycle.state != LIFECYCLE_DONE; i++) {
             lifecycle_event_t event = (lifecycle_event_t)g_rand_int_range(
                 rand, 1, LIFECYCLE_EVENT_COUNT);
-            lifecycle_state_t before = life.state;
-            life.retry_allowed = g_rand_boolean(rand);
-            lifecycle_apply(&life, event);
-            if (before == LIFECYCLE_CONNECTING &&
-                life.state == LIFECYCLE_SENT) {
-                dispatches_sent++;
-                left = TRUE;
-                said_not_run = FALSE;
+            lifecycle_state_t previous = lifecycle.state;
+            lifecycle.retry_allowed = g_rand_boolean(rand);
+            lifecycle_apply(&lifecycle, event);
+            if (previous == LIFECYCLE_CONNECTING &&
+                lifecycle.state == LIFECYCLE_SENT) {
+                dispatches++;
+                sent = TRUE;
+                answered_not_run = FALSE;
             }
-            if (before == LIFECYCLE_SENT && event == LIFECYCLE_EVENT_NOT_RUN) {
-                said_not_run = TRUE;
-                dispatches_sent--;
+            if (previous == LIFECYCLE_SENT &&
+                event == LIFECYCLE_EVENT_NOT_RUN) {
+                answered_not_run = TRUE;
+                dispatches--;
             }
         }
-        CU_ASSERT_FATAL(dispatches_sent <= 1);
-        if (life.state == LIFECYCLE_DONE && life.outcome == OUTCOME_NOT_RUN) {
-            CU_ASSERT_FATAL(!left || said_not_run);
+        CU_ASSERT_FATAL(dispatches <= 1);
+        if (lifecycle.state == LIFECYCLE_DONE &&
+            lifecycle.outcome == OUTCOME_NOT_RUN) {
+            CU_ASSERT_FATAL(!sent || answered_not_run);
         }
     }
     g_rand_free(rand);
 }
 
 static void
-test_life_resume_only_where_permitted(void)
+test_lifecycle_resume_only_where_permitted(void)
 {
     static const struct {
         gboolean repeatable;
@@ -236,20 +238,20 @@
         {FALSE, FALSE, LIFECYCLE_DONE},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
-        lifecycle_t life = {.state = LIFECYCLE_STREAMING,
-                            .repeatable = cases[i].repeatable,
-                            .resume = cases[i].resume,
-                            .attempts = 1,
-                            .attempts_max = 3,
-                            .retry_allowed = TRUE};
-        lifecycle_apply(&life, LIFECYCLE_EVENT_BROKEN);
-        CU_ASSERT_EQUAL(life.state, cases[i].next);
+        lifecycle_t lifecycle = {.state = LIFECYCLE_STREAMING,
+                                 .repeatable = cases[i].repeatable,
+                                 .resume = cases[i].resume,
+                                 .attempts = 1,
+                                 .attempts_max = 3,
+                                 .retry_allowed = TRUE};
+        lifecycle_apply(&lifecycle, LIFECYCLE_EVENT_BROKEN);
+        CU_ASSERT_EQUAL(lifecycle.state, cases[i].next);
     }
 }
 
 /* The page that lists the transitions is the table. */
 static void
-test_life_page_is_the_table(void)
+test_lifecycle_page_is_the_table(void)
 {
     char *page = NULL;
     char *table = lifecycle_table_markdown();
@@ -297,14 +299,15 @@
 static const test_case_t cases[] = {
     {"heap orders", test_heap_orders},
     {"quantile within its factor", test_quantile_within_factor},
-    {"bucket says when", test_bucket_says_when},
+    {"bucket says when", test_bucket_wait},
     {"retry budget bounds a storm", test_retry_budget_bounds_storm},
     {"rendezvous moves little", test_rendezvous_moves_little},
     {"events are read however they are cut", test_sse_cases},
     {"events are bounded", test_sse_bounds_memory},
-    {"not repeatable runs at most once", test_life_at_most_once},
-    {"resumes only where permitted", test_life_resume_only_where_permitted},
-    {"the life's page is its table", test_life_page_is_the_table},
+    {"not repeatable runs at most once", test_lifecycle_at_most_once},
+    {"resumes only where permitted",
+     test_lifecycle_resume_only_where_permitted},
+    {"the life's page is its table", test_lifecycle_page_is_the_table},
     {"timers on a manual clock", test_timers_manual_clock},
 };
 
