--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,4 +1,5 @@
-/* The pure parts: strings, queues, quantiles, limits, life, events. */
+/* Tests of the pure modules: heap, quantiles, limits, rendezvous hashing,
+ * server-sent events, request lifecycle, and timers. */
 #include <string.h>
 
 #include "carobloom/common/timers.h"
@@ -75,7 +76,7 @@
     CU_ASSERT(bucket_take(&b, 10, 2, 1, wait - 1000) > 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, wait), 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 0, 0, 1, 0), 0);
-    /* A clock that goes back neither refunds nor locks the bucket. */
+    /* A clock that goes backwards neither refills nor locks the bucket. */
     CU_ASSERT(bucket_take(&b, 10, 2, 1, 0) > 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, 10 * G_USEC_PER_SEC), 0);
 }
@@ -185,9 +186,10 @@
     g_free(block);
 }
 
-/* Whatever happens after a byte left, a call that may not be repeated is
- * dispatched once; and what is told not-run never left, unless the endpoint
- * itself said so. */
+/* Random events. A request that is not repeatable must be dispatched at most
+ * once, whatever happens after a byte was sent. It may only be answered
+ * not-run if no byte was sent or the endpoint itself answered that it did not
+ * run the request. */
 static void
 test_lifecycle_at_most_once(void)
 {
@@ -249,7 +251,7 @@
     }
 }
 
-/* The page that lists the transitions is the table. */
+/* The documentation must contain the transition table as it is in the code. */
 static void
 test_lifecycle_page_is_the_table(void)
 {
@@ -284,10 +286,11 @@
     }
     CU_ASSERT_EQUAL(often, 10);
     CU_ASSERT_EQUAL(once, 1);
-    /* A jump runs a periodic timer once, not once for each period. */
+    /* A jump of the clock runs a periodic timer once, not once per missed
+     * period. */
     timers_advance(timers, 100000);
     CU_ASSERT_EQUAL(often, 11);
-    /* A clock that goes back runs nothing. */
+    /* A clock that goes backwards runs no timer. */
     timers_advance(timers, 50);
     CU_ASSERT_EQUAL(often, 11);
     timers_cancel(timers, id);
