--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -14,7 +14,7 @@
 
 /* ---- heartbeats ---- */
 
-#define WHOLE                                                                 \
+#define VALID_FIELDS                                                          \
     "\"Service\":\"s\",\"Address\":\"10.0.0.1:80\",\"Zone\":\"z\","           \
     "\"Version\":\"v1\",\"Slots\":4,\"State\":\"ready\","                     \
     "\"ColdRemainingMs\":0,\"born\":1000,\"Sequence\":9"
@@ -65,7 +65,7 @@
 heartbeat_text(const heartbeat_case_t *c)
 {
     GString *text = g_string_new("{");
-    char **fields = g_strsplit("" WHOLE, ",", -1);
+    char **fields = g_strsplit("" VALID_FIELDS, ",", -1);
     char *key = g_strdup_printf("\"%s\":", c->field);
     for (guint i = 0; fields[i] != NULL; i++) {
         if (c->field == NULL || !g_str_has_prefix(fields[i], key)) {
@@ -109,8 +109,9 @@
 {
     const char *field;
     heartbeat_t h;
-    CU_ASSERT_EQUAL(platform_heartbeat_decode(STR("{" WHOLE "}"), &h, &field),
-                    PLATFORM_OK);
+    CU_ASSERT_EQUAL(
+        platform_heartbeat_decode(STR("{" VALID_FIELDS "}"), &h, &field),
+        PLATFORM_OK);
     CU_ASSERT_STRING_EQUAL(h.service, "s");
     CU_ASSERT_STRING_EQUAL(h.address, "10.0.0.1:80");
     CU_ASSERT_STRING_EQUAL(h.data_centre, "z");
@@ -123,7 +124,8 @@
     heartbeat_clear(&h);
     CU_ASSERT_EQUAL(
         platform_heartbeat_decode(
-            STR("{" WHOLE ",\"Spot\":true,\"leaves_ms\":2200}"), &h, &field),
+            STR("{" VALID_FIELDS ",\"Spot\":true,\"leaves_ms\":2200}"), &h,
+            &field),
         PLATFORM_OK);
     CU_ASSERT(h.reclaimable);
     CU_ASSERT_EQUAL(h.leaves_ms, 2200);
@@ -134,22 +136,22 @@
 static void
 test_heartbeat_bytes(void)
 {
-    enum { DEPTH = 5000, HUGE = 100000, MUTATIONS = 20000 };
-    static const char WHOLE_TEXT[] = "{" WHOLE "}";
+    enum { NESTED_BYTES = 5000, BLANK_BYTES = 100000, MUTATIONS = 20000 };
+    static const char VALID_TEXT[] = "{" VALID_FIELDS "}";
     const char *field;
     heartbeat_t h;
-    char *deep = g_strnfill(DEPTH, '[');
-    char *huge = g_strnfill(HUGE, ' ');
+    char *nested = g_strnfill(NESTED_BYTES, '[');
+    char *blank = g_strnfill(BLANK_BYTES, ' ');
     const char *const bodies[] = {"",
                                   "[]",
                                   "null",
                                   "7",
                                   "\"x\"",
-                                  deep,
-                                  huge,
+                                  nested,
+                                  blank,
                                   "\xff\xfe",
-                                  "{" WHOLE "}}",
-                                  "{" WHOLE "," WHOLE "}"};
+                                  "{" VALID_FIELDS "}}",
+                                  "{" VALID_FIELDS "," VALID_FIELDS "}"};
     for (gsize i = 0; i < G_N_ELEMENTS(bodies); i++) {
         CU_ASSERT_EQUAL(
             platform_heartbeat_decode(str_from_cstr(bodies[i]), &h, &field),
@@ -157,8 +159,8 @@
     }
     GRand *random = g_rand_new_with_seed(7);
     for (int i = 0; i < MUTATIONS; i++) {
-        gsize length = sizeof(WHOLE_TEXT) - 1;
-        char *copy = g_memdup2(WHOLE_TEXT, length);
+        gsize length = sizeof(VALID_TEXT) - 1;
+        char *copy = g_memdup2(VALID_TEXT, length);
         for (int j = g_rand_int_range(random, 1, 4); j > 0; j--) {
             copy[g_rand_int_range(random, 0, (gint)length)] =
                 (char)g_rand_int_range(random, 0, 256);
@@ -174,8 +176,8 @@
         g_free(copy);
     }
     g_rand_free(random);
-    g_free(deep);
-    g_free(huge);
+    g_free(nested);
+    g_free(blank);
 }
 
 /* What an endpoint is told when its renewal was taken. */
@@ -195,30 +197,33 @@
     registry_t *r = registry_create(SECOND);
     endpoint_lease_t ready = lease_of("e", 2, LEASE_READY);
     endpoint_lease_t late = lease_of("e", 1, LEASE_DRAINING);
-    endpoint_lease_t again = lease_of("e", 3, LEASE_READY);
+    endpoint_lease_t renewed = lease_of("e", 3, LEASE_READY);
     CU_ASSERT_EQUAL(registry_renew(r, &ready, SECOND), REGISTRY_ACCEPTED);
     guint64 through;
     guint64 cursor = registry_cursor(r);
     CU_ASSERT_EQUAL(registry_renew(r, &late, SECOND), REGISTRY_STALE);
-    CU_ASSERT_EQUAL(registry_renew(r, &again, 2 * SECOND), REGISTRY_ACCEPTED);
+    CU_ASSERT_EQUAL(registry_renew(r, &renewed, 2 * SECOND),
+                    REGISTRY_ACCEPTED);
     /* A renewal alone is no news. */
     CU_ASSERT_EQUAL(registry_cursor(r), cursor);
     CU_ASSERT_FALSE(registry_expire(r, 4 * SECOND));
     CU_ASSERT(registry_expire(r, 8 * SECOND));
-    GPtrArray *news = registry_changes_since(r, cursor, G_MAXUINT, &through);
-    CU_ASSERT_EQUAL_FATAL(news->len, 1);
-    CU_ASSERT_EQUAL(((endpoint_lease_t *)news->pdata[0])->state, LEASE_SILENT);
-    g_ptr_array_unref(news);
-    again.sequence = 4;
-    registry_renew(r, &again, 9 * SECOND);
+    GPtrArray *changes =
+        registry_changes_since(r, cursor, G_MAXUINT, &through);
+    CU_ASSERT_EQUAL_FATAL(changes->len, 1);
+    CU_ASSERT_EQUAL(((endpoint_lease_t *)changes->pdata[0])->state,
+                    LEASE_SILENT);
+    g_ptr_array_unref(changes);
+    renewed.sequence = 4;
+    registry_renew(r, &renewed, 9 * SECOND);
     CU_ASSERT(registry_cursor(r) > cursor + 1);
     registry_leave(r, "e", 0, 1, 10 * SECOND);
-    again.sequence = 5;
-    CU_ASSERT_EQUAL(registry_renew(r, &again, 11 * SECOND), REGISTRY_LEFT);
+    renewed.sequence = 5;
+    CU_ASSERT_EQUAL(registry_renew(r, &renewed, 11 * SECOND), REGISTRY_LEFT);
     registry_leave(r, "never seen", 0, 1, 11 * SECOND);
-    news = registry_changes_since(r, 0, G_MAXUINT, &through);
-    CU_ASSERT_EQUAL(news->len, 2);
-    g_ptr_array_unref(news);
+    changes = registry_changes_since(r, 0, G_MAXUINT, &through);
+    CU_ASSERT_EQUAL(changes->len, 2);
+    g_ptr_array_unref(changes);
     registry_destroy(r);
 }
 
@@ -229,7 +234,7 @@
         const char *id;
         guint64 sequence;
         lease_state_t state;
-    } told[4];
+    } reports[4];
     guint count;
     gboolean usable; /* endpoint "e" */
 } merge_case_t;
@@ -270,9 +275,9 @@
         const merge_case_t *c = &MERGE_CASES[i];
         directory_t *d = directory_create(drop_nothing);
         for (guint j = 0; j < c->count; j++) {
-            endpoint_lease_t lease =
-                lease_of(c->told[j].id, c->told[j].sequence, c->told[j].state);
-            directory_update(d, c->told[j].source, &lease, SECOND);
+            endpoint_lease_t lease = lease_of(
+                c->reports[j].id, c->reports[j].sequence, c->reports[j].state);
+            directory_update(d, c->reports[j].source, &lease, SECOND);
         }
         const endpoint_t *e = directory_find(d, "e");
         gboolean usable = e != NULL && endpoint_usable(e, SECOND);
@@ -321,7 +326,7 @@
 
 /* A lease of one start of "e". */
 static endpoint_lease_t
-lease_of_start(gint64 started_ms, guint64 sequence, lease_state_t state)
+lease_of_incarnation(gint64 started_ms, guint64 sequence, lease_state_t state)
 {
     endpoint_lease_t lease = lease_of("e", sequence, state);
     lease.started_ms = started_ms;
@@ -335,13 +340,13 @@
         guint64 sequence;
         lease_state_t state;
         registry_result_t result;
-    } heard[4];
+    } renewals[4];
     guint count;
     gint64 started_ms; /* what is believed in the end */
     lease_state_t state;
-} start_case_t;
+} incarnation_case_t;
 
-static const start_case_t START_CASES[] = {
+static const incarnation_case_t INCARNATION_CASES[] = {
     {"counts start anew",
      {{100, 50, LEASE_READY, REGISTRY_ACCEPTED},
       {200, 1, LEASE_READY, REGISTRY_ACCEPTED},
@@ -386,21 +391,21 @@
 };
 
 static void
-test_registry_starts(void)
+test_registry_incarnations(void)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(START_CASES); i++) {
-        const start_case_t *c = &START_CASES[i];
+    for (gsize i = 0; i < G_N_ELEMENTS(INCARNATION_CASES); i++) {
+        const incarnation_case_t *c = &INCARNATION_CASES[i];
         registry_t *r = registry_create(SECOND);
         for (guint j = 0; j < c->count; j++) {
-            endpoint_lease_t lease =
-                lease_of_start(c->heard[j].started_ms, c->heard[j].sequence,
-                               c->heard[j].state);
+            endpoint_lease_t lease = lease_of_incarnation(
+                c->renewals[j].started_ms, c->renewals[j].sequence,
+                c->renewals[j].state);
             if (lease.state == LEASE_LEFT) {
                 registry_leave(r, "e", lease.started_ms, 1, SECOND);
                 continue;
             }
             CU_ASSERT_EQUAL(registry_renew(r, &lease, SECOND),
-                            c->heard[j].result);
+                            c->renewals[j].result);
         }
         guint64 through;
         GPtrArray *all = registry_changes_since(r, 0, G_MAXUINT, &through);
@@ -419,11 +424,11 @@
 /* One that leaves at an instance that never heard it: all starts until then
  * have left, a later one has not. */
 static void
-test_unheard_leaves(void)
+test_unknown_leaves(void)
 {
     registry_t *r = registry_create(SECOND);
-    endpoint_lease_t before = lease_of_start(100, 50, LEASE_READY);
-    endpoint_lease_t after = lease_of_start(300, 1, LEASE_READY);
+    endpoint_lease_t before = lease_of_incarnation(100, 50, LEASE_READY);
+    endpoint_lease_t after = lease_of_incarnation(300, 1, LEASE_READY);
     registry_leave(r, "e", 0, 200, SECOND);
     CU_ASSERT_EQUAL(registry_renew(r, &before, SECOND),
                     REGISTRY_OLD_INCARNATION);
@@ -434,13 +439,13 @@
 /* Nothing that was learned of a start holds for the next one, and what is
  * still told of the one before changes nothing. */
 static void
-test_directory_starts(void)
+test_directory_incarnations(void)
 {
     directory_t *d = directory_create(drop_nothing);
-    endpoint_lease_t first = lease_of_start(100, 50, LEASE_READY);
-    endpoint_lease_t second = lease_of_start(200, 1, LEASE_READY);
-    endpoint_lease_t late = lease_of_start(100, 51, LEASE_DRAINING);
-    endpoint_lease_t left = lease_of_start(100, 0, LEASE_LEFT);
+    endpoint_lease_t first = lease_of_incarnation(100, 50, LEASE_READY);
+    endpoint_lease_t second = lease_of_incarnation(200, 1, LEASE_READY);
+    endpoint_lease_t late = lease_of_incarnation(100, 51, LEASE_DRAINING);
+    endpoint_lease_t left = lease_of_incarnation(100, 0, LEASE_LEFT);
     second.address = "10.0.0.2:80";
     directory_update(d, 0, &first, SECOND);
     endpoint_t *before = directory_find(d, "e");
@@ -473,7 +478,7 @@
 /* Of two endpoints at one address the one that started later has it, in
  * whatever order they are told. */
 static void
-test_address_by_start(void)
+test_address_by_incarnation(void)
 {
     for (int order = 0; order < 2; order++) {
         directory_t *d = directory_create(drop_nothing);
@@ -520,12 +525,13 @@
     for (gsize i = 0; i < G_N_ELEMENTS(START_STATE_CASES); i++) {
         const start_state_case_t *c = &START_STATE_CASES[i];
         directory_t *d = directory_create(drop_nothing);
-        endpoint_lease_t first = lease_of_start(100, 50, LEASE_READY);
-        endpoint_lease_t last = lease_of_start(100, 51, c->last);
+        endpoint_lease_t first = lease_of_incarnation(100, 50, LEASE_READY);
+        endpoint_lease_t last = lease_of_incarnation(100, 51, c->last);
         directory_update(d, 0, &first, SECOND);
         directory_update(d, 0, &last, SECOND);
         if (c->next_ms != 0) {
-            endpoint_lease_t next = lease_of_start(c->next_ms, 1, LEASE_READY);
+            endpoint_lease_t next =
+                lease_of_incarnation(c->next_ms, 1, LEASE_READY);
             next.id = (char *)c->next_id;
             next.address = (char *)c->next_address;
             directory_update(d, 1, &next, SECOND);
@@ -595,10 +601,11 @@
     {"leases of several control instances are merged", test_merge},
     {"a control instance that starts over", test_forget},
     {"an address used again", test_address_taken},
-    {"leases by start", test_registry_starts},
-    {"one never heard here leaves", test_unheard_leaves},
-    {"an endpoint that starts again knows nothing", test_directory_starts},
-    {"an address goes to the later start", test_address_by_start},
+    {"leases by start", test_registry_incarnations},
+    {"one never heard here leaves", test_unknown_leaves},
+    {"an endpoint that starts again knows nothing",
+     test_directory_incarnations},
+    {"an address goes to the later start", test_address_by_incarnation},
     {"what became of a start", test_start_state},
     {"a limit of an endpoint that left", test_limit_of_departed},
     {"a limit told before its endpoint", test_early_limit},
