--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -1,6 +1,6 @@
-/* What is believed of endpoints: heartbeats as the platform sends them, the
- * leases that one control instance hears, and the merge at an entry instance.
- * Without a socket or a clock. */
+/* Tests of endpoint state without sockets or a clock: heartbeats as the
+ * platform sends them, the leases that one control instance receives, and
+ * their merge at an entry instance. */
 #include <string.h>
 
 #include "carobloom/policy/directory.h"
@@ -21,8 +21,8 @@
 
 typedef struct {
     const char *name;
-    const char *field; /* replaced; NULL: none */
-    const char *value; /* by this; NULL: left out */
+    const char *field; /* field to replace; NULL: none */
+    const char *value; /* its new value; NULL: the field is left out */
     int result;
 } heartbeat_case_t;
 
@@ -60,7 +60,7 @@
     {"gone before now", "leaves_ms", "-1", PLATFORM_ERROR_FIELD},
 };
 
-/* The whole heartbeat with one field replaced, added or left out. */
+/* A valid heartbeat with one field replaced, added or left out. */
 static char *
 heartbeat_text(const heartbeat_case_t *c)
 {
@@ -132,7 +132,8 @@
     heartbeat_clear(&h);
 }
 
-/* Bodies that are no heartbeat at all, and random damage to one that is. */
+/* Bodies that are not a heartbeat, and random damage to a valid one, must not
+ * crash the decoder or pass with missing fields. */
 static void
 test_heartbeat_bytes(void)
 {
@@ -180,7 +181,7 @@
     g_free(blank);
 }
 
-/* What an endpoint is told when its renewal was taken. */
+/* The answer to an accepted renewal. */
 static void
 test_heartbeat_answer(void)
 {
@@ -204,7 +205,7 @@
     CU_ASSERT_EQUAL(registry_renew(r, &late, SECOND), REGISTRY_STALE);
     CU_ASSERT_EQUAL(registry_renew(r, &renewed, 2 * SECOND),
                     REGISTRY_ACCEPTED);
-    /* A renewal alone is no news. */
+    /* A renewal without a change is not reported as a change. */
     CU_ASSERT_EQUAL(registry_cursor(r), cursor);
     CU_ASSERT_FALSE(registry_expire(r, 4 * SECOND));
     CU_ASSERT(registry_expire(r, 8 * SECOND));
@@ -236,7 +237,7 @@
         lease_state_t state;
     } reports[4];
     guint count;
-    gboolean usable; /* endpoint "e" */
+    gboolean usable; /* whether endpoint "e" is usable in the end */
 } merge_case_t;
 
 static const merge_case_t MERGE_CASES[] = {
@@ -289,8 +290,9 @@
     }
 }
 
-/* A control instance that starts over is not the end of what only it heard:
- * endpoints are told again within a heartbeat. */
+/* Endpoints that only one control instance reported stay usable for a while
+ * when that instance restarts, since they renew within a heartbeat
+ * interval. */
 static void
 test_forget(void)
 {
@@ -304,8 +306,9 @@
     directory_destroy(d);
 }
 
-/* Two starts at one address: the new one gets the work, and the old one does
- * not take it for good if its renewal came late. */
+/* Two endpoints without a start time report one address: the one reported
+ * last gets the requests, but not permanently, since a delayed renewal may
+ * report the older one last. Misdirected answers back off the wrong one. */
 static void
 test_address_taken(void)
 {
@@ -322,9 +325,9 @@
     directory_destroy(d);
 }
 
-/* ---- endpoints that start again ---- */
+/* ---- endpoints that restart ---- */
 
-/* A lease of one start of "e". */
+/* A lease of one incarnation of "e". */
 static endpoint_lease_t
 lease_of_incarnation(gint64 started_ms, guint64 sequence, lease_state_t state)
 {
@@ -342,7 +345,7 @@
         registry_result_t result;
     } renewals[4];
     guint count;
-    gint64 started_ms; /* what is believed in the end */
+    gint64 started_ms; /* of the final lease */
     lease_state_t state;
 } incarnation_case_t;
 
@@ -421,8 +424,8 @@
     }
 }
 
-/* One that leaves at an instance that never heard it: all starts until then
- * have left, a later one has not. */
+/* An endpoint leaves at an instance that does not know it: all its
+ * incarnations until then have left, but a later one has not. */
 static void
 test_unknown_leaves(void)
 {
@@ -436,8 +439,8 @@
     registry_destroy(r);
 }
 
-/* Nothing that was learned of a start holds for the next one, and what is
- * still told of the one before changes nothing. */
+/* A new incarnation keeps no state of the previous one, and late reports about
+ * the previous one do not change it. */
 static void
 test_directory_incarnations(void)
 {
@@ -465,7 +468,7 @@
     CU_ASSERT(endpoint_usable(directory_find(d, "e"), SECOND));
     CU_ASSERT_FALSE(directory_find(d, "e")->draining);
     directory_sweep(d, SECOND);
-    endpoint_remove_request(before, 5000); /* its request was still there */
+    endpoint_remove_request(before, 5000); /* its last request ends */
     directory_sweep(d, SECOND);
     CU_ASSERT_EQUAL(directory_count(d), 1);
     left.started_ms = 200;
@@ -475,8 +478,8 @@
     directory_destroy(d);
 }
 
-/* Of two endpoints at one address the one that started later has it, in
- * whatever order they are told. */
+/* Of two endpoints with one address, the later incarnation has it, in whatever
+ * order they are reported. */
 static void
 test_address_by_incarnation(void)
 {
@@ -494,13 +497,13 @@
     }
 }
 
-/* ---- what became of a start ---- */
+/* ---- state of an incarnation ---- */
 
 typedef struct {
     const char *name;
-    lease_state_t last;  /* that the start said of itself */
-    gint64 next_ms;      /* the next start; 0: none came */
-    const char *next_id; /* under which id */
+    lease_state_t last;  /* last state that the incarnation reported */
+    gint64 next_ms;      /* start time of the next incarnation; 0: none */
+    const char *next_id; /* id of the next incarnation */
     const char *next_address;
     start_state_t state;
 } start_state_case_t;
@@ -546,8 +549,9 @@
     }
 }
 
-/* A late answer of an endpoint that left named its limit: it was listed, and
- * the list outlived it. */
+/* A late answer of an endpoint that has left names a limit. The endpoint must
+ * not be listed among those with a limit: the list would keep a pointer to it
+ * after it is freed. */
 static void
 test_limit_of_departed(void)
 {
@@ -566,8 +570,8 @@
     directory_destroy(d);
 }
 
-/* What is told of a limit before the endpoint is known holds once it is, and
- * for that start of it alone. */
+/* A limit that is reported before its endpoint is known applies once the
+ * endpoint is known, and only to that incarnation. */
 static void
 test_early_limit(void)
 {
