--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -74,14 +74,14 @@
     for (gint64 now = 0; now < 200; now++) {
         membership_tick(a, now);
         membership_tick(b, now);
-        GPtrArray *from_b = membership_take_sends(b);
-        GPtrArray *from_a = membership_take_sends(a);
+        GPtrArray *from_b = membership_take_messages(b);
+        GPtrArray *from_a = membership_take_messages(a);
         for (guint i = 0; i < from_b->len; i++) {
-            const membership_send_t *m = from_b->pdata[i];
+            const membership_message_t *m = from_b->pdata[i];
             membership_receive(a, m->bytes, now);
         }
         for (guint i = 0; i < from_a->len; i++) {
-            const membership_send_t *m = from_a->pdata[i];
+            const membership_message_t *m = from_a->pdata[i];
             bytes = (double)g_bytes_get_size(m->bytes);
             membership_receive(b, m->bytes, now);
         }
--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -42,7 +42,7 @@
 {
     voter_settings_t settings = {
         .id = log->id,
-        .election_us = ELECTION_US,
+        .election_timeout_us = ELECTION_US,
         .heartbeat_us = HEARTBEAT_US,
         .seed = log->id ^ (guint64)clock_boot_us(),
     };
@@ -134,8 +134,8 @@
         core_start(log, &state);
         if (event_log_begin(EVENT_STATE, "voter_start")) {
             event_log_number("config_version", (gint64)log->state.version);
-            event_log_number("last_index",
-                             (gint64)replica_log_last(voter_log(log->core)));
+            event_log_number("last_index", (gint64)replica_log_last_index(
+                                               voter_log(log->core)));
             event_log_number("cut_bytes", (gint64)state.cut_bytes);
             event_log_end();
         }
@@ -222,7 +222,7 @@
 {
     char *why = NULL;
     int result = STORE_OK;
-    if (ready->hard_changed) {
+    if (ready->hard_state_changed) {
         result = log_store_hard(log->store, &ready->hard, &why);
     }
     if (result == STORE_OK && ready->install) {
@@ -300,7 +300,7 @@
     char *why = NULL;
     GBytes *data = log_state_snapshot(&log->state);
     voter_snapshot_t snapshot =
-        voter_compact(log->core, voter_applied(log->core), data);
+        voter_compact(log->core, voter_applied_index(log->core), data);
     int result =
         log_store_snapshot(log->store, &snapshot, voter_log(log->core), &why);
     g_bytes_unref(data);
@@ -346,7 +346,7 @@
         .first_start = log->founds,
     };
     view.read_until_us =
-        voter_may_read(log->core, now) ? voter_lease(log->core) : 0;
+        voter_may_read(log->core, now) ? voter_lease_end_us(log->core) : 0;
     view.in_quorum = name != NULL && (!view.leads || view.read_until_us > now);
     g_strlcpy(view.leader, name != NULL ? name : "", sizeof(view.leader));
     if (!view_equal(&view, &log->view)) {
@@ -546,7 +546,7 @@
                                 (const config_envelope_message_t *)message);
         break;
     case CONFIG_LOG_HAND_OVER:
-        voter_hand_over(log->core, clock_boot_us());
+        voter_step_down(log->core, clock_boot_us());
         break;
     default:
         return;
--- a/carobloomd/control/config_log_members.c
+++ b/carobloomd/control/config_log_members.c
@@ -107,10 +107,10 @@
         }
         repair_state_t state =
             voter_repair_step(log->core, c->name, c->id, now);
-        if (state == REPAIR_WHOLE) {
+        if (state == REPAIR_DONE) {
             c->asks = FALSE;
         }
-        if (state == REPAIR_CHANGED) {
+        if (state == REPAIR_PROPOSED) {
             if (event_log_begin(EVENT_STATE, "voter_taken_in")) {
                 event_log_cstr("name", c->name);
                 event_log_end();
--- a/carobloomd/process/log_store.c
+++ b/carobloomd/process/log_store.c
@@ -181,7 +181,7 @@
 }
 
 int
-log_store_hard(log_store_t *s, const voter_hard_t *hard, char **why)
+log_store_hard(log_store_t *s, const voter_hard_state_t *hard, char **why)
 {
     GBytes *body = codec_write(g_variant_new("(tt)", hard->term, hard->vote));
     int result = file_replace(s, "hard", body, why);
@@ -397,7 +397,7 @@
 {
     GVariantBuilder b;
     g_variant_builder_init(&b, G_VARIANT_TYPE(ENTRIES_TYPE));
-    for (guint64 i = from; i <= replica_log_last(log); i++) {
+    for (guint64 i = from; i <= replica_log_last_index(log); i++) {
         const log_entry_t *e = replica_log_get(log, i);
         GVariant *data =
             g_variant_new_from_bytes(G_VARIANT_TYPE("ay"), e->data, TRUE);
@@ -436,7 +436,7 @@
 {
     /* Entries that replace earlier ones follow them: reading takes the later
      * frame for an index. So nothing acknowledged is ever cut. */
-    if (from > replica_log_last(log)) {
+    if (from > replica_log_last_index(log)) {
         return STORE_OK;
     }
     GBytes *body = entries_bytes(log, from);
@@ -465,7 +465,7 @@
     if (s->log_fd < 0) {
         result = fail(why, STORE_ERROR_WRITE, fresh);
     }
-    else if (replica_log_last(log) > snapshot->index) {
+    else if (replica_log_last_index(log) > snapshot->index) {
         result = log_store_append(s, log, snapshot->index + 1, why);
     }
     else if (disk_sync(s->log_fd) != 0) {
--- a/carobloomd/process/peers_task.c
+++ b/carobloomd/process/peers_task.c
@@ -190,9 +190,9 @@
 static void
 flush_gossip(peers_task_t *p)
 {
-    GPtrArray *sends = membership_take_sends(p->membership);
+    GPtrArray *sends = membership_take_messages(p->membership);
     for (guint i = 0; i < sends->len; i++) {
-        const membership_send_t *s = sends->pdata[i];
+        const membership_message_t *s = sends->pdata[i];
         if (s->reconnect) {
             g_hash_table_remove(p->links, s->address);
         }
@@ -209,7 +209,7 @@
 check_version(peers_task_t *p)
 {
     guint64 member;
-    guint64 best = membership_version(p->membership, &member);
+    guint64 best = membership_newest_version(p->membership, &member);
     if (best > p->version) {
         task_send(p->process->voter,
                   MESSAGE(version_message_t,
--- a/carobloomd/process/voter_log.c
+++ b/carobloomd/process/voter_log.c
@@ -18,7 +18,7 @@
 {
     voter_settings_t settings = {
         .id = v->id,
-        .election_us = ELECTION_US,
+        .election_timeout_us = ELECTION_US,
         .heartbeat_us = HEARTBEAT_US,
         .seed = v->process->incarnation,
     };
@@ -266,7 +266,7 @@
             continue;
         }
         repair_state_t state = voter_repair_step(v->core, c->name, c->id, now);
-        if (state == REPAIR_CHANGED) {
+        if (state == REPAIR_PROPOSED) {
             log_info(LOG_PART_VOTER, "Changing the membership for %s.",
                      c->name);
             return;
@@ -295,7 +295,7 @@
     }
     char *why = NULL;
     int result = STORE_OK;
-    if (ready->hard_changed) {
+    if (ready->hard_state_changed) {
         result = log_store_hard(v->store, &ready->hard, &why);
     }
     if (result == STORE_OK && ready->install) {
@@ -371,7 +371,7 @@
 compact_if_large(voter_task_t *v)
 {
     if (v->store == NULL || log_store_bytes(v->store) < COMPACT_BYTES ||
-        voter_applied(v->core) != v->last_applied) {
+        voter_applied_index(v->core) != v->last_applied) {
         return;
     }
     char *why = NULL;
--- a/carobloomd/process/voter_task.c
+++ b/carobloomd/process/voter_task.c
@@ -268,7 +268,7 @@
     return json_pack("{s:s, s:I, s:I, s:I, s:I, s:o, s:b}", "role",
                      roles[voter_role(v->core)], "term",
                      (json_int_t)voter_term(v->core), "commit",
-                     (json_int_t)voter_commit(v->core), "applied",
+                     (json_int_t)voter_commit_index(v->core), "applied",
                      (json_int_t)v->last_applied, "log_bytes",
                      (json_int_t)(v->store ? log_store_bytes(v->store) : 0),
                      "members", members, "failed", (int)v->failed);
@@ -387,7 +387,7 @@
         break;
     case VOTER_HANDOVER:
         if (v->core) {
-            voter_hand_over(v->core, g_get_monotonic_time());
+            voter_step_down(v->core, g_get_monotonic_time());
             voter_log_turn(v);
         }
         break;
--- a/include/carobloom/policy/membership.h
+++ b/include/carobloom/policy/membership.h
@@ -9,7 +9,7 @@
 
 #include <glib.h>
 
-enum { MEMBER_TEXT_MAX = 64, MEMBERSHIP_MAX = 4096 };
+enum { MEMBER_TEXT_MAX = 64, MEMBERSHIP_MEMBERS_MAX = 4096 };
 
 typedef enum {
     MEMBER_ALIVE,
@@ -21,7 +21,7 @@
 /* What travels about a member. Two of one name: the later start counts. */
 typedef struct {
     guint64 id;
-    guint32 rumor; /* raised by the member itself to refute */
+    guint32 incarnation_number; /* raised by the member itself to refute */
     member_state_t state;
     guint64 started; /* wall clock, ms */
     char name[MEMBER_TEXT_MAX + 1];
@@ -46,7 +46,7 @@
     guint64 to; /* 0 when not known */
     gboolean reconnect;
     GBytes *bytes;
-} membership_send_t;
+} membership_message_t;
 
 typedef struct membership membership_t;
 
@@ -66,11 +66,12 @@
 /* The version of the document in force here, told on each ping. */
 void membership_set_version(membership_t *membership, guint64 version);
 /* The highest version heard of, and from whom. */
-guint64 membership_version(const membership_t *membership, guint64 *member);
+guint64 membership_newest_version(const membership_t *membership,
+                                  guint64 *member);
 
-/* Takes what is to be sent: a GPtrArray of membership_send_t, freed by its
+/* Takes what is to be sent: a GPtrArray of membership_message_t, freed by its
  * own free function. */
-GPtrArray *membership_take_sends(membership_t *membership);
+GPtrArray *membership_take_messages(membership_t *membership);
 /* Whether who is alive changed since the last call. */
 gboolean membership_take_changed(membership_t *membership);
 /* All known, self included: a GArray of member_record_t; the caller unrefs. */
--- a/include/carobloom/policy/replica_log.h
+++ b/include/carobloom/policy/replica_log.h
@@ -27,7 +27,7 @@
 
 void replica_log_init(replica_log_t *log);
 void replica_log_clear(replica_log_t *log);
-guint64 replica_log_last(const replica_log_t *log);
+guint64 replica_log_last_index(const replica_log_t *log);
 guint64 replica_log_last_term(const replica_log_t *log);
 /* The term of an entry, 0 when it is not there (or is index 0). */
 guint64 replica_log_term(const replica_log_t *log, guint64 index);
--- a/include/carobloom/policy/voter.h
+++ b/include/carobloom/policy/voter.h
@@ -15,15 +15,16 @@
 enum {
     VOTER_MEMBERS_MAX = 16,
     VOTER_NAME_MAX = 64,
-    VOTER_ENTRIES_A_MESSAGE = 256,
-    VOTER_BYTES_A_MESSAGE = 1024 * 1024,
+    VOTER_MESSAGE_ENTRIES_MAX = 256,
+    VOTER_MESSAGE_BYTES_MAX = 1024 * 1024,
 };
 
 enum {
     VOTER_OK = 0,
     VOTER_ERROR_NOT_LEADER = -1,
-    VOTER_ERROR_BUSY = -2,   /* a membership change is not committed yet */
-    VOTER_ERROR_CONFIG = -3, /* it would change more than one member */
+    VOTER_ERROR_CONFIG_PENDING =
+        -2, /* a membership change is not committed yet */
+    VOTER_ERROR_CONFIG_INVALID = -3, /* it would change more than one member */
 };
 
 /* One member. `id` changes when it lost its disk; the name stays. */
@@ -46,7 +47,7 @@
     VOTER_APPEND,
     VOTER_APPEND_REPLY,
     VOTER_SNAPSHOT,
-    VOTER_MESSAGE_KINDS,
+    VOTER_MESSAGE_KIND_COUNT,
 } voter_message_kind_t;
 
 /* One message between voters. Fields not named for a kind are zero. */
@@ -73,7 +74,7 @@
 typedef struct {
     guint64 term;
     guint64 vote; /* member voted for in the term, 0 for none */
-} voter_hard_t;
+} voter_hard_state_t;
 
 typedef struct {
     guint64 index;
@@ -84,7 +85,8 @@
 
 typedef struct {
     guint64 id;
-    gint64 election_us; /* least election timeout; also the lease's length */
+    gint64 election_timeout_us; /* least election timeout; also the lease's
+                                   length */
     gint64 heartbeat_us;
     guint64 seed;
 } voter_settings_t;
@@ -95,8 +97,8 @@
  * `hard` and the log from `append_from` on; send `messages`; restore or apply
  * `snapshot` and `committed`; then call voter_advance. */
 typedef struct {
-    gboolean hard_changed;
-    voter_hard_t hard;
+    gboolean hard_state_changed;
+    voter_hard_state_t hard;
     guint64 append_from; /* 0: the log did not change */
     gboolean install;    /* `snapshot` came from the leader */
     voter_snapshot_t snapshot;
@@ -108,7 +110,7 @@
 
 /* Starts from what is durable; `entries` may be NULL. */
 voter_t *voter_create(const voter_settings_t *settings,
-                      const voter_hard_t *hard,
+                      const voter_hard_state_t *hard,
                       const voter_snapshot_t *snapshot,
                       const GPtrArray *entries, gint64 now_us);
 void voter_destroy(voter_t *voter);
@@ -118,7 +120,8 @@
 /* Appends a command as leader; `index` tells where. */
 int voter_propose(voter_t *voter, GBytes *data, guint64 *index, gint64 now_us);
 /* Appends a membership that differs in one member from the present. */
-int voter_change(voter_t *voter, const voter_config_t *config, gint64 now_us);
+int voter_propose_config(voter_t *voter, const voter_config_t *config,
+                         gint64 now_us);
 /* Collects what is to do; clear it with voter_ready_clear. FALSE when there
  * is nothing. */
 gboolean voter_ready(voter_t *voter, voter_ready_t *ready);
@@ -129,13 +132,13 @@
 voter_snapshot_t voter_compact(voter_t *voter, guint64 index, GBytes *data);
 /* Gives up leadership, for a drain; the followers elect another once their
  * timeout has passed. */
-void voter_hand_over(voter_t *voter, gint64 now_us);
+void voter_step_down(voter_t *voter, gint64 now_us);
 
 voter_role_t voter_role(const voter_t *voter);
 guint64 voter_term(const voter_t *voter);
 guint64 voter_leader(const voter_t *voter);
-guint64 voter_commit(const voter_t *voter);
-guint64 voter_applied(const voter_t *voter);
+guint64 voter_commit_index(const voter_t *voter);
+guint64 voter_applied_index(const voter_t *voter);
 const replica_log_t *voter_log(const voter_t *voter);
 const voter_config_t *voter_config(const voter_t *voter);
 /* Whether a config entry waits for its commit. */
@@ -143,12 +146,12 @@
 /* Until when, by this clock, no other leader can have been elected. Reads
  * and orders need now < this, and an entry of the own term applied. */
 /* Its settings' election timeout. */
-gint64 voter_election_us(const voter_t *voter);
-gint64 voter_lease(const voter_t *voter);
+gint64 voter_election_timeout_us(const voter_t *voter);
+gint64 voter_lease_end_us(const voter_t *voter);
 /* Whether the leader may answer reads from its applied state now. */
 gboolean voter_may_read(const voter_t *voter, gint64 now_us);
 /* How far a member has the log, as the leader knows; 0 elsewhere. */
-guint64 voter_match(const voter_t *voter, guint64 member);
+guint64 voter_match_index(const voter_t *voter, guint64 member);
 const voter_member_t *voter_config_find(const voter_config_t *config,
                                         guint64 id);
 
--- a/include/carobloom/policy/voter_repair.h
+++ b/include/carobloom/policy/voter_repair.h
@@ -9,9 +9,9 @@
 #include "carobloom/policy/voter.h"
 
 typedef enum {
-    REPAIR_WHOLE,   /* it votes, and that is committed */
-    REPAIR_WAITING, /* for a commit or for the log to catch up */
-    REPAIR_CHANGED, /* a membership change was appended */
+    REPAIR_DONE,     /* it votes, and that is committed */
+    REPAIR_PENDING,  /* for a commit or for the log to catch up */
+    REPAIR_PROPOSED, /* a membership change was appended */
 } repair_state_t;
 
 /* The next step, on the leader, for the member `id` named `name`. */
--- a/include/carobloom/process/log_store.h
+++ b/include/carobloom/process/log_store.h
@@ -24,7 +24,7 @@
 typedef struct {
     gboolean empty; /* no state yet */
     guint64 id;     /* this voter's identity, made on the first open */
-    voter_hard_t hard;
+    voter_hard_state_t hard;
     voter_snapshot_t snapshot;
     GPtrArray *entries; /* log_entry_t * */
     guint64 cut_bytes;  /* of a torn tail */
@@ -38,7 +38,8 @@
 void log_store_close(log_store_t *store);
 /* Replaces the identity of a folder that holds no state yet. */
 int log_store_set_id(log_store_t *store, guint64 id, char **why);
-int log_store_hard(log_store_t *store, const voter_hard_t *hard, char **why);
+int log_store_hard(log_store_t *store, const voter_hard_state_t *hard,
+                   char **why);
 /* Makes the log from `from` on durable, replacing what stood there. */
 int log_store_append(log_store_t *store, const replica_log_t *log,
                      guint64 from, char **why);
--- a/policy/membership.c
+++ b/policy/membership.c
@@ -60,7 +60,7 @@
 static void
 send_free(gpointer data)
 {
-    membership_send_t *send = data;
+    membership_message_t *send = data;
     g_bytes_unref(send->bytes);
     g_free(send);
 }
@@ -116,9 +116,9 @@
 static GVariant *
 record_variant(const member_record_t *r)
 {
-    return g_variant_new(RECORD_TYPE, r->id, r->rumor, (guchar)r->state,
-                         r->started, r->name, r->region, r->data_centre,
-                         r->address, r->control, r->draining);
+    return g_variant_new(RECORD_TYPE, r->id, r->incarnation_number,
+                         (guchar)r->state, r->started, r->name, r->region,
+                         r->data_centre, r->address, r->control, r->draining);
 }
 
 static guint
@@ -159,7 +159,7 @@
     }
 }
 
-static membership_send_t *
+static membership_message_t *
 post_record(membership_t *m, const char *address, guint64 to,
             gossip_kind_t kind, guint32 sequence, guint64 target,
             gboolean introduce, const member_record_t *about)
@@ -183,7 +183,7 @@
         }
         add_changes(m, &records, RECORDS_A_MESSAGE);
     }
-    membership_send_t *send = g_new0(membership_send_t, 1);
+    membership_message_t *send = g_new0(membership_message_t, 1);
     g_strlcpy(send->address, address, sizeof(send->address));
     send->to = to;
     send->bytes = codec_write(g_variant_new(
@@ -193,7 +193,7 @@
     return send;
 }
 
-static membership_send_t *
+static membership_message_t *
 post(membership_t *m, const char *address, guint64 to, gossip_kind_t kind,
      guint32 sequence, guint64 target)
 {
@@ -224,12 +224,12 @@
 refute(membership_t *m, const member_record_t *wrong)
 {
     if (wrong->state == MEMBER_ALIVE &&
-        wrong->rumor <= m->self->record.rumor) {
+        wrong->incarnation_number <= m->self->record.incarnation_number) {
         return;
     }
-    if (wrong->rumor >= m->self->record.rumor &&
+    if (wrong->incarnation_number >= m->self->record.incarnation_number &&
         m->self->record.state != MEMBER_LEFT) {
-        m->self->record.rumor = wrong->rumor + 1;
+        m->self->record.incarnation_number = wrong->incarnation_number + 1;
         tell(m, m->self);
     }
 }
@@ -256,14 +256,15 @@
 {
     if (known->state == MEMBER_LEFT || known->state == MEMBER_DEAD) {
         /* Only the member itself, with a higher rumor, comes back. */
-        return r->state == MEMBER_ALIVE && r->rumor > known->rumor &&
+        return r->state == MEMBER_ALIVE &&
+               r->incarnation_number > known->incarnation_number &&
                known->state == MEMBER_DEAD;
     }
     if (r->state >= MEMBER_DEAD) {
-        return r->rumor >= known->rumor;
+        return r->incarnation_number >= known->incarnation_number;
     }
-    if (r->rumor != known->rumor) {
-        return r->rumor > known->rumor;
+    if (r->incarnation_number != known->incarnation_number) {
+        return r->incarnation_number > known->incarnation_number;
     }
     return r->state > known->state;
 }
@@ -287,7 +288,7 @@
     member_t *member = g_hash_table_lookup(m->members, &r->id);
     if (member == NULL) {
         if (r->state >= MEMBER_DEAD ||
-            g_hash_table_size(m->members) >= MEMBERSHIP_MAX) {
+            g_hash_table_size(m->members) >= MEMBERSHIP_MEMBERS_MAX) {
             return;
         }
         member = g_new0(member_t, 1);
@@ -302,7 +303,7 @@
         tell(m, member);
     }
     else if (member->record.state == MEMBER_DEAD && r->state == MEMBER_ALIVE &&
-             r->rumor == member->record.rumor) {
+             r->incarnation_number == member->record.incarnation_number) {
         challenge(m, member);
     }
 }
@@ -354,7 +355,7 @@
 static void
 ping(membership_t *m, const member_t *target, gboolean again)
 {
-    membership_send_t *send =
+    membership_message_t *send =
         post_record(m, target->record.address, target->record.id, GOSSIP_PING,
                     ++m->sequence, 0, again, NULL);
     send->reconnect = again;
@@ -527,9 +528,10 @@
     const char *data_centre;
     const char *address;
     *r = (member_record_t){0};
-    if (!g_variant_iter_next(iter, "(tuyt&s&s&s&sbb)", &r->id, &r->rumor,
-                             &state, &r->started, &name, &region, &data_centre,
-                             &address, &r->control, &r->draining)) {
+    if (!g_variant_iter_next(iter, "(tuyt&s&s&s&sbb)", &r->id,
+                             &r->incarnation_number, &state, &r->started,
+                             &name, &region, &data_centre, &address,
+                             &r->control, &r->draining)) {
         return FALSE;
     }
     r->state = (member_state_t)MIN(state, MEMBER_LEFT);
@@ -610,7 +612,7 @@
 membership_leave(membership_t *m, gint64 now_us)
 {
     m->now_us = MAX(m->now_us, now_us);
-    m->self->record.rumor++;
+    m->self->record.incarnation_number++;
     set_state(m, m->self, MEMBER_LEFT);
     tell_some(m);
 }
@@ -619,7 +621,7 @@
 membership_set_draining(membership_t *m, gint64 now_us)
 {
     m->now_us = MAX(m->now_us, now_us);
-    m->self->record.rumor++;
+    m->self->record.incarnation_number++;
     m->self->record.draining = TRUE;
     tell(m, m->self);
     tell_some(m);
@@ -636,14 +638,14 @@
 }
 
 guint64
-membership_version(const membership_t *m, guint64 *member)
+membership_newest_version(const membership_t *m, guint64 *member)
 {
     *member = m->best_member;
     return m->best_version;
 }
 
 GPtrArray *
-membership_take_sends(membership_t *m)
+membership_take_messages(membership_t *m)
 {
     GPtrArray *sends = m->sends;
     m->sends = sends_create();
--- a/policy/replica_log.c
+++ b/policy/replica_log.c
@@ -21,7 +21,7 @@
 }
 
 guint64
-replica_log_last(const replica_log_t *log)
+replica_log_last_index(const replica_log_t *log)
 {
     return log->base_index + log->entries->len;
 }
@@ -39,13 +39,13 @@
 guint64
 replica_log_last_term(const replica_log_t *log)
 {
-    return replica_log_term(log, replica_log_last(log));
+    return replica_log_term(log, replica_log_last_index(log));
 }
 
 const log_entry_t *
 replica_log_get(const replica_log_t *log, guint64 index)
 {
-    if (index <= log->base_index || index > replica_log_last(log)) {
+    if (index <= log->base_index || index > replica_log_last_index(log)) {
         return NULL;
     }
     return &g_array_index(log->entries, log_entry_t,
@@ -63,7 +63,7 @@
 void
 replica_log_truncate(replica_log_t *log, guint64 index)
 {
-    if (index <= replica_log_last(log) && index > log->base_index) {
+    if (index <= replica_log_last_index(log) && index > log->base_index) {
         g_array_set_size(log->entries, (guint)(index - log->base_index - 1));
     }
 }
--- a/policy/voter.c
+++ b/policy/voter.c
@@ -58,8 +58,8 @@
 void
 voter_reset_timeout(voter_t *v)
 {
-    gint64 spread = v->settings.election_us;
-    v->timeout_us = v->now_us + v->settings.election_us +
+    gint64 spread = v->settings.election_timeout_us;
+    v->timeout_us = v->now_us + v->settings.election_timeout_us +
                     (gint64)(g_rand_double(v->rand) * (double)spread);
 }
 
@@ -67,8 +67,8 @@
 voter_follow(voter_t *v, guint64 term, guint64 leader)
 {
     if (term > v->hard.term) {
-        v->hard = (voter_hard_t){.term = term};
-        v->hard_changed = TRUE;
+        v->hard = (voter_hard_state_t){.term = term};
+        v->hard_state_changed = TRUE;
     }
     v->role = ROLE_FOLLOWER;
     v->prevoting = FALSE;
@@ -110,7 +110,8 @@
 void
 voter_config_refresh(voter_t *v)
 {
-    for (guint64 i = replica_log_last(&v->log); i > v->log.base_index; i--) {
+    for (guint64 i = replica_log_last_index(&v->log); i > v->log.base_index;
+         i--) {
         const log_entry_t *entry = replica_log_get(&v->log, i);
         if (entry->kind == ENTRY_CONFIG &&
             voter_config_read(entry->data, &v->config)) {
@@ -166,7 +167,7 @@
     case VOTER_SNAPSHOT:
         voter_handle_snapshot(v, m);
         break;
-    case VOTER_MESSAGE_KINDS:
+    case VOTER_MESSAGE_KIND_COUNT:
         break;
     }
 }
@@ -182,7 +183,7 @@
         return;
     }
     voter_advance_lease(v);
-    if (v->now_us - v->quorum_us > 2 * v->settings.election_us) {
+    if (v->now_us - v->quorum_us > 2 * v->settings.election_timeout_us) {
         voter_follow(v, v->hard.term, 0);
         return;
     }
@@ -201,7 +202,7 @@
         return VOTER_ERROR_NOT_LEADER;
     }
     voter_append_own(v, ENTRY_COMMAND, data);
-    *index = replica_log_last(&v->log);
+    *index = replica_log_last_index(&v->log);
     v->beat_us = v->now_us; /* sent with the next ready, batched */
     return VOTER_OK;
 }
@@ -222,7 +223,7 @@
 }
 
 int
-voter_change(voter_t *v, const voter_config_t *config, gint64 now_us)
+voter_propose_config(voter_t *v, const voter_config_t *config, gint64 now_us)
 {
     v->now_us = MAX(v->now_us, now_us);
     if (v->role != ROLE_LEADER) {
@@ -230,10 +231,10 @@
     }
     /* A new leader must commit in its own term first (Ongaro, 2015). */
     if (voter_config_pending(v) || v->commit < v->term_start) {
-        return VOTER_ERROR_BUSY;
+        return VOTER_ERROR_CONFIG_PENDING;
     }
     if (config_distance(&v->config, config) != 1) {
-        return VOTER_ERROR_CONFIG;
+        return VOTER_ERROR_CONFIG_INVALID;
     }
     GBytes *data = voter_config_write(config);
     voter_append_own(v, ENTRY_CONFIG, data);
@@ -245,7 +246,7 @@
 }
 
 void
-voter_hand_over(voter_t *v, gint64 now_us)
+voter_step_down(voter_t *v, gint64 now_us)
 {
     v->now_us = MAX(v->now_us, now_us);
     if (v->role != ROLE_LEADER) {
@@ -253,7 +254,7 @@
     }
     /* It does not stand again before the others had their chance. */
     voter_follow(v, v->hard.term, 0);
-    v->timeout_us = v->now_us + 4 * v->settings.election_us;
+    v->timeout_us = v->now_us + 4 * v->settings.election_timeout_us;
 }
 
 /* ---- what the driver does ---- */
@@ -263,7 +264,7 @@
 {
     /* The driver makes the same ready's entries durable before it applies,
      * so a snapshot never holds more than the disk. */
-    guint64 until = MIN(v->commit, replica_log_last(&v->log));
+    guint64 until = MIN(v->commit, replica_log_last_index(&v->log));
     for (guint64 i = v->applied + 1; i <= until; i++) {
         g_ptr_array_add(ready->committed,
                         log_entry_copy(replica_log_get(&v->log, i)));
@@ -277,7 +278,7 @@
         voter_send_all(v);
     }
     *ready = (voter_ready_t){
-        .hard_changed = v->hard_changed,
+        .hard_state_changed = v->hard_state_changed,
         .hard = v->hard,
         .append_from = v->append_from,
         .install = v->install,
@@ -290,10 +291,10 @@
     }
     v->outbox = g_ptr_array_new_with_free_func(message_free);
     collect_committed(v, ready);
-    v->hard_changed = FALSE;
+    v->hard_state_changed = FALSE;
     v->append_from = 0;
     v->install = FALSE;
-    gboolean any = ready->hard_changed || ready->append_from > 0 ||
+    gboolean any = ready->hard_state_changed || ready->append_from > 0 ||
                    ready->install || ready->messages->len > 0 ||
                    ready->committed->len > 0;
     if (!any) {
@@ -307,7 +308,7 @@
 {
     v->now_us = MAX(v->now_us, now_us);
     if (ready->append_from > 0) {
-        v->durable = replica_log_last(&v->log);
+        v->durable = replica_log_last_index(&v->log);
     }
     if (ready->committed->len > 0) {
         const log_entry_t *last =
@@ -358,7 +359,7 @@
 /* ---- life ---- */
 
 voter_t *
-voter_create(const voter_settings_t *settings, const voter_hard_t *hard,
+voter_create(const voter_settings_t *settings, const voter_hard_state_t *hard,
              const voter_snapshot_t *snapshot, const GPtrArray *entries,
              gint64 now_us)
 {
@@ -375,7 +376,7 @@
     for (guint i = 0; entries && i < entries->len; i++) {
         replica_log_append(&v->log, entries->pdata[i]);
     }
-    v->durable = replica_log_last(&v->log);
+    v->durable = replica_log_last_index(&v->log);
     v->commit = snapshot->index;
     v->applied = snapshot->index;
     v->votes = g_hash_table_new(NULL, NULL);
@@ -386,7 +387,7 @@
     voter_config_refresh(v);
     voter_reset_timeout(v);
     if (v->config.count == 1 && voter_may_vote(v, settings->id)) {
-        v->heard_us = now_us - settings->election_us;
+        v->heard_us = now_us - settings->election_timeout_us;
         v->timeout_us = now_us; /* alone: nobody to wait for */
     }
     return v;
@@ -422,13 +423,13 @@
 }
 
 guint64
-voter_commit(const voter_t *v)
+voter_commit_index(const voter_t *v)
 {
     return v->commit;
 }
 
 guint64
-voter_applied(const voter_t *v)
+voter_applied_index(const voter_t *v)
 {
     return v->applied;
 }
@@ -446,13 +447,13 @@
 }
 
 gint64
-voter_election_us(const voter_t *v)
+voter_election_timeout_us(const voter_t *v)
 {
-    return v->settings.election_us;
+    return v->settings.election_timeout_us;
 }
 
 gint64
-voter_lease(const voter_t *v)
+voter_lease_end_us(const voter_t *v)
 {
     return v->role == ROLE_LEADER ? v->lease_us : 0;
 }
@@ -465,7 +466,7 @@
 }
 
 guint64
-voter_match(const voter_t *v, guint64 member)
+voter_match_index(const voter_t *v, guint64 member)
 {
     for (guint i = 0; i < v->progress_count; i++) {
         if (v->role == ROLE_LEADER && v->progress[i].id == member) {
--- a/policy/voter_codec.c
+++ b/policy/voter_codec.c
@@ -138,7 +138,7 @@
     m->kind = (voter_message_kind_t)kind;
     m->entries = read_entries(entries, m->index);
     m->snapshot = bytes_of(snapshot);
-    gboolean ok = kind < VOTER_MESSAGE_KINDS && m->entries != NULL &&
+    gboolean ok = kind < VOTER_MESSAGE_KIND_COUNT && m->entries != NULL &&
                   config_from_iter(config, &m->config);
     g_variant_iter_free(entries);
     g_variant_iter_free(config);
--- a/policy/voter_election.c
+++ b/policy/voter_election.c
@@ -12,7 +12,7 @@
         voter_message_t *m =
             voter_message_to(v, pre ? VOTER_PREVOTE : VOTER_VOTE, member->id);
         m->term = pre ? v->hard.term + 1 : v->hard.term;
-        m->index = replica_log_last(&v->log);
+        m->index = replica_log_last_index(&v->log);
         m->log_term = replica_log_last_term(&v->log);
     }
 }
@@ -25,8 +25,9 @@
     v->role = ROLE_CANDIDATE;
     v->prevoting = FALSE;
     v->leader = 0;
-    v->hard = (voter_hard_t){.term = v->hard.term + 1, .vote = v->settings.id};
-    v->hard_changed = TRUE;
+    v->hard =
+        (voter_hard_state_t){.term = v->hard.term + 1, .vote = v->settings.id};
+    v->hard_state_changed = TRUE;
     voter_reset_timeout(v);
     ask_votes(v, FALSE);
     take_vote(v, v->settings.id);
@@ -59,7 +60,7 @@
     GBytes *empty = g_bytes_new(NULL, 0);
     voter_append_own(v, ENTRY_NOOP, empty);
     g_bytes_unref(empty);
-    v->term_start = replica_log_last(&v->log);
+    v->term_start = replica_log_last_index(&v->log);
     voter_send_all(v);
 }
 
@@ -90,15 +91,15 @@
 log_up_to_date(const voter_t *v, const voter_message_t *m)
 {
     guint64 term = replica_log_last_term(&v->log);
-    return m->log_term > term ||
-           (m->log_term == term && m->index >= replica_log_last(&v->log));
+    return m->log_term > term || (m->log_term == term &&
+                                  m->index >= replica_log_last_index(&v->log));
 }
 
 gboolean
 voter_leader_is_fresh(const voter_t *v)
 {
     return v->role != ROLE_LEADER &&
-           v->now_us - v->heard_us < v->settings.election_us;
+           v->now_us - v->heard_us < v->settings.election_timeout_us;
 }
 
 void
@@ -122,7 +123,7 @@
         m->term == v->hard.term && free_vote && log_up_to_date(v, m);
     if (grant && v->hard.vote == 0) {
         v->hard.vote = m->from;
-        v->hard_changed = TRUE;
+        v->hard_state_changed = TRUE;
     }
     if (grant) {
         voter_reset_timeout(v);
--- a/policy/voter_repair.c
+++ b/policy/voter_repair.c
@@ -9,7 +9,7 @@
      * lose its disk: until then three voters of four must stay. */
     DEAD_ELECTIONS = 4,
     FRESH_ELECTIONS = 2,
-    VOTERS_LEAST = 3,
+    VOTERS_MIN = 3,
 };
 
 gboolean
@@ -51,17 +51,17 @@
     voter_config_t config = *voter_config(voter);
     voter_member_t *member = (voter_member_t *)voter_config_find(&config, id);
     if (member && !member->learner) {
-        return voter_config_pending(voter) ? REPAIR_WAITING : REPAIR_WHOLE;
+        return voter_config_pending(voter) ? REPAIR_PENDING : REPAIR_DONE;
     }
     guint64 old = old_identity(&config, name, id);
     if (member == NULL) {
         if (config.count >= VOTER_MEMBERS_MAX) {
-            return REPAIR_WAITING;
+            return REPAIR_PENDING;
         }
         add_learner(&config, name, id);
     }
-    else if (voter_match(voter, id) < voter_commit(voter)) {
-        return REPAIR_WAITING;
+    else if (voter_match_index(voter, id) < voter_commit_index(voter)) {
+        return REPAIR_PENDING;
     }
     else if (old != 0) {
         voter_config_remove(&config, old);
@@ -69,8 +69,8 @@
     else {
         member->learner = FALSE;
     }
-    int result = voter_change(voter, &config, now_us);
-    return result == VOTER_OK ? REPAIR_CHANGED : REPAIR_WAITING;
+    int result = voter_propose_config(voter, &config, now_us);
+    return result == VOTER_OK ? REPAIR_PROPOSED : REPAIR_PENDING;
 }
 
 guint64
@@ -78,20 +78,20 @@
                          gint64 now_us)
 {
     voter_config_t config = *voter_config(voter);
-    gint64 election_us = voter_election_us(voter);
+    gint64 election_timeout_us = voter_election_timeout_us(voter);
     guint64 dead = 0;
-    if (voter_config_pending(voter) || config.count <= VOTERS_LEAST ||
+    if (voter_config_pending(voter) || config.count <= VOTERS_MIN ||
         config.count % 2 == 1) {
         return 0;
     }
     for (guint i = 0; i < config.count; i++) {
-        if (silent_us[i] > DEAD_ELECTIONS * election_us && dead != 0) {
+        if (silent_us[i] > DEAD_ELECTIONS * election_timeout_us && dead != 0) {
             return 0;
         }
-        if (silent_us[i] > DEAD_ELECTIONS * election_us) {
+        if (silent_us[i] > DEAD_ELECTIONS * election_timeout_us) {
             dead = config.members[i].id;
         }
-        else if (silent_us[i] > FRESH_ELECTIONS * election_us) {
+        else if (silent_us[i] > FRESH_ELECTIONS * election_timeout_us) {
             return 0;
         }
     }
@@ -99,5 +99,5 @@
         return 0;
     }
     voter_config_remove(&config, dead);
-    return voter_change(voter, &config, now_us) == VOTER_OK ? dead : 0;
+    return voter_propose_config(voter, &config, now_us) == VOTER_OK ? dead : 0;
 }
--- a/policy/voter_replicate.c
+++ b/policy/voter_replicate.c
@@ -26,10 +26,11 @@
     for (guint i = 0; i < v->config.count; i++) {
         guint64 id = v->config.members[i].id;
         progress_t *known = progress_of(v, id);
-        fresh[i] = known ? *known
-                         : (progress_t){.id = id,
-                                        .next = replica_log_last(&v->log) + 1,
-                                        .heard_us = v->now_us};
+        fresh[i] =
+            known ? *known
+                  : (progress_t){.id = id,
+                                 .next = replica_log_last_index(&v->log) + 1,
+                                 .heard_us = v->now_us};
     }
     memcpy(v->progress, fresh, sizeof(progress_t) * v->config.count);
     v->progress_count = v->config.count;
@@ -40,7 +41,7 @@
 static void
 send_snapshot(voter_t *v, progress_t *p)
 {
-    if (v->now_us - p->snapshot_us < v->settings.election_us &&
+    if (v->now_us - p->snapshot_us < v->settings.election_timeout_us &&
         p->snapshot_us > 0) {
         return;
     }
@@ -69,8 +70,8 @@
     m->round = (guint64)v->now_us;
     m->entries = g_ptr_array_new_with_free_func(voter_entry_free);
     gsize bytes = 0;
-    while (m->entries->len < VOTER_ENTRIES_A_MESSAGE &&
-           bytes < VOTER_BYTES_A_MESSAGE) {
+    while (m->entries->len < VOTER_MESSAGE_ENTRIES_MAX &&
+           bytes < VOTER_MESSAGE_BYTES_MAX) {
         const log_entry_t *entry = replica_log_get(&v->log, p->next);
         if (entry == NULL) {
             break;
@@ -158,14 +159,15 @@
     v->quorum_us = MAX(v->quorum_us, round);
     v->lease_us =
         MAX(v->lease_us,
-            round + (gint64)(LEASE_SHARE * (double)v->settings.election_us));
+            round + (gint64)(LEASE_SHARE *
+                             (double)v->settings.election_timeout_us));
 }
 
 void
 voter_append_own(voter_t *v, entry_kind_t kind, GBytes *data)
 {
     log_entry_t entry = {
-        .index = replica_log_last(&v->log) + 1,
+        .index = replica_log_last_index(&v->log) + 1,
         .term = v->hard.term,
         .kind = kind,
         .data = data,
@@ -191,7 +193,7 @@
             replica_log_term(&v->log, entry->index) == entry->term) {
             continue;
         }
-        if (entry->index <= replica_log_last(&v->log)) {
+        if (entry->index <= replica_log_last_index(&v->log)) {
             replica_log_truncate(&v->log, entry->index);
             v->durable = MIN(v->durable, entry->index - 1);
         }
@@ -219,14 +221,14 @@
     reply->term = v->hard.term;
     v->heard_us = v->now_us;
     gboolean fits = m->index < v->log.base_index ||
-                    (m->index <= replica_log_last(&v->log) &&
+                    (m->index <= replica_log_last_index(&v->log) &&
                      replica_log_term(&v->log, m->index) == m->log_term);
     if (!fits) {
         /* Where the leader may try next: before the conflicting term. */
-        guint64 hint = MIN(m->index - 1, replica_log_last(&v->log));
+        guint64 hint = MIN(m->index - 1, replica_log_last_index(&v->log));
         guint64 term = replica_log_term(&v->log, hint);
         while (hint > v->log.base_index && hint > v->commit &&
-               m->index <= replica_log_last(&v->log) &&
+               m->index <= replica_log_last_index(&v->log) &&
                replica_log_term(&v->log, hint) == term) {
             hint--;
         }
@@ -249,7 +251,7 @@
     p->acked_round = MAX(p->acked_round, m->round);
     voter_advance_lease(v);
     if (!m->granted) {
-        p->next = MAX(MIN(m->index + 1, replica_log_last(&v->log) + 1),
+        p->next = MAX(MIN(m->index + 1, replica_log_last_index(&v->log) + 1),
                       p->match + 1);
         send_append(v, p);
         return;
@@ -265,7 +267,7 @@
     if (v->commit > before) {
         voter_send_all(v); /* followers learn of the commit at once */
     }
-    else if (p->next <= replica_log_last(&v->log)) {
+    else if (p->next <= replica_log_last_index(&v->log)) {
         send_append(v, p);
     }
 }
--- a/policy/voter_state.h
+++ b/policy/voter_state.h
@@ -22,8 +22,8 @@
 struct voter {
     voter_settings_t settings;
     GRand *rand;
-    voter_hard_t hard;
-    gboolean hard_changed;
+    voter_hard_state_t hard;
+    gboolean hard_state_changed;
     replica_log_t log;
     voter_snapshot_t snapshot;
     gboolean install;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -31,9 +31,9 @@
 static void
 deliver(net_t *net, guint from)
 {
-    GPtrArray *sends = membership_take_sends(net->node[from]);
+    GPtrArray *sends = membership_take_messages(net->node[from]);
     for (guint i = 0; i < sends->len; i++) {
-        const membership_send_t *s = sends->pdata[i];
+        const membership_message_t *s = sends->pdata[i];
         guint to = (guint)atoi(s->address);
         net->bytes += g_bytes_get_size(s->bytes);
         if (to < net->count && !net->cut[from][to]) {
--- a/tests/test_voter.c
+++ b/tests/test_voter.c
@@ -41,7 +41,7 @@
 
 /* What one voter made durable. */
 typedef struct {
-    voter_hard_t hard;
+    voter_hard_state_t hard;
     voter_snapshot_t snapshot;
     GPtrArray *entries; /* log_entry_t, after the snapshot */
 } disk_t;
@@ -164,7 +164,7 @@
 {
     gint64 now = clock_of(w, n);
     n->read_until_us =
-        voter_may_read(n->voter, now) ? voter_lease(n->voter) : 0;
+        voter_may_read(n->voter, now) ? voter_lease_end_us(n->voter) : 0;
     n->view_leads = voter_role(n->voter) == ROLE_LEADER;
     n->view_term = voter_term(n->voter);
     duty_lease_update(&n->duties, n->view_leads, n->view_term,
@@ -232,7 +232,7 @@
 node_start(world_t *w, node_t *n)
 {
     voter_settings_t settings = {.id = n->id,
-                                 .election_us = ELECTION_US,
+                                 .election_timeout_us = ELECTION_US,
                                  .heartbeat_us = ELECTION_US / 5,
                                  .seed = g_rand_int(w->rand)};
     n->voter = voter_create(&settings, &n->disk.hard, &n->disk.snapshot,
@@ -284,7 +284,7 @@
         disk_snapshot(disk, &ready->snapshot);
         g_ptr_array_set_size(disk->entries, 0);
     }
-    if (ready->hard_changed) {
+    if (ready->hard_state_changed) {
         disk->hard = ready->hard;
     }
     if (ready->append_from > 0) {
@@ -296,7 +296,8 @@
             }
             g_ptr_array_set_size(disk->entries, (gint)disk->entries->len - 1);
         }
-        for (guint64 i = ready->append_from; i <= replica_log_last(log); i++) {
+        for (guint64 i = ready->append_from; i <= replica_log_last_index(log);
+             i++) {
             if (crash && g_rand_boolean(w->rand)) {
                 return FALSE; /* a torn tail: a part is there */
             }
@@ -394,7 +395,7 @@
 {
     guint64 base = voter_log(n->voter)->base_index;
     if (n->state_index < base + COMPACT_EVERY ||
-        voter_applied(n->voter) != n->state_index) {
+        voter_applied_index(n->voter) != n->state_index) {
         return;
     }
     GBytes *data = state_bytes(n);
@@ -545,10 +546,10 @@
         char name[] = {n->name, 0};
         repair_state_t state =
             voter_repair_step(leader->voter, name, n->id, clock_of(w, leader));
-        if (state == REPAIR_WHOLE) {
+        if (state == REPAIR_DONE) {
             n->lost = FALSE;
         }
-        if (state == REPAIR_CHANGED) {
+        if (state == REPAIR_PROPOSED) {
             return;
         }
     }
