--- a/bench/capacity.c
+++ b/bench/capacity.c
@@ -65,7 +65,7 @@
     member_record_t other = {.id = 2, .name = "b", .address = "127.0.0.1:2"};
     membership_settings_t settings = {.period_us = 1,
                                       .suspicion_us = 1 << 30,
-                                      .forget_us = 1 << 30,
+                                      .dead_expiry_us = 1 << 30,
                                       .seed = 1};
     membership_t *a = membership_create(&self, &settings, 0);
     membership_t *b = membership_create(&other, &settings, 0);
--- a/carobloomd/process/log_store.c
+++ b/carobloomd/process/log_store.c
@@ -183,7 +183,8 @@
 int
 log_store_hard(log_store_t *s, const voter_hard_state_t *hard, char **why)
 {
-    GBytes *body = codec_write(g_variant_new("(tt)", hard->term, hard->vote));
+    GBytes *body =
+        codec_write(g_variant_new("(tt)", hard->term, hard->voted_for));
     int result = file_replace(s, "hard", body, why);
     g_bytes_unref(body);
     return result;
@@ -203,7 +204,7 @@
         *why = g_strdup("hard: malformed");
         return STORE_ERROR_DAMAGED;
     }
-    g_variant_get(v, "(tt)", &state->hard.term, &state->hard.vote);
+    g_variant_get(v, "(tt)", &state->hard.term, &state->hard.voted_for);
     g_variant_unref(v);
     state->empty = FALSE;
     return STORE_OK;
--- a/carobloomd/process/peers_task.c
+++ b/carobloomd/process/peers_task.c
@@ -364,7 +364,7 @@
     membership_settings_t settings = {
         .period_us = PERIOD_US,
         .suspicion_us = SUSPICION_US,
-        .forget_us = FORGET_US,
+        .dead_expiry_us = FORGET_US,
         .seed = process->incarnation,
     };
     membership_t *m =
--- a/include/carobloom/policy/membership.h
+++ b/include/carobloom/policy/membership.h
@@ -35,7 +35,7 @@
 typedef struct {
     gint64 period_us;
     gint64 suspicion_us;
-    gint64 forget_us; /* a dead member is remembered for so long */
+    gint64 dead_expiry_us; /* a dead member is remembered for so long */
     guint64 seed;
 } membership_settings_t;
 
--- a/include/carobloom/policy/voter.h
+++ b/include/carobloom/policy/voter.h
@@ -58,8 +58,9 @@
     guint64 term;
     guint64 index; /* last of the log (votes), previous (append), match */
     guint64 log_term;
-    guint64 commit;
-    guint64 round;    /* of the leader's sending time, echoed; for the lease */
+    guint64 commit_index;
+    guint64
+        send_time_us; /* of the leader's sending time, echoed; for the lease */
     gboolean granted; /* or the append fitted */
     GPtrArray *entries;    /* log_entry_t *, owned; may be NULL */
     voter_config_t config; /* of a snapshot */
@@ -73,7 +74,7 @@
 /* What must outlive a crash besides the log. */
 typedef struct {
     guint64 term;
-    guint64 vote; /* member voted for in the term, 0 for none */
+    guint64 voted_for; /* member voted for in the term, 0 for none */
 } voter_hard_state_t;
 
 typedef struct {
--- a/policy/membership.c
+++ b/policy/membership.c
@@ -7,11 +7,11 @@
 #define RECORD_TYPE "(tuytssssbb)"
 #define MESSAGE_TYPE "(yttuta(tuytssssbb))"
 enum {
-    RECORDS_A_MESSAGE = 8,
-    RECORDS_A_SYNC = 4096,
-    SEEDS_A_PERIOD = 3,
-    HELPERS = 2,       /* asked to ping in our place */
-    SPREAD_FACTOR = 3, /* tellings of a change: factor * log2(n + 1) */
+    PIGGYBACKED_RECORDS_MAX = 8,
+    RELAYED_PINGS_MAX = 4096,
+    SEEDS_PER_PERIOD_MAX = 3,
+    INDIRECT_PINGS = 2,      /* asked to ping in our place */
+    TRANSMISSION_FACTOR = 3, /* tellings of a change: factor * log2(n + 1) */
 };
 
 typedef enum {
@@ -20,55 +20,55 @@
     GOSSIP_PING_REQUEST, /* ping `target` for the sender */
     GOSSIP_JOIN,         /* asks for all records */
     GOSSIP_SYNC,         /* all records */
-    GOSSIP_KINDS,
+    GOSSIP_KIND_COUNT,
 } gossip_kind_t;
 
 typedef struct {
     member_record_t record;
     gint64 changed_us;
-    guint tellings; /* left */
+    guint transmissions_left; /* left */
 } member_t;
 
 /* A ping on its way. */
 typedef struct {
     guint64 target;
     gint64 sent_us;
-    gboolean helped; /* others were asked */
-} probe_t;
+    gboolean indirect; /* others were asked */
+} pending_ping_t;
 
 struct membership {
     membership_settings_t settings;
     GRand *rand;
     member_t *self;
-    GHashTable *members; /* id -> member_t, self included */
-    GPtrArray *order;    /* member ids in the order of pinging */
-    guint order_at;
+    GHashTable *members;   /* id -> member_t, self included */
+    GPtrArray *ping_order; /* member ids in the order of pinging */
+    guint next_ping;
     GPtrArray *seeds;
-    guint seed_at;
-    GPtrArray *sends;
+    guint next_seed;
+    GPtrArray *outbox;
     gint64 now_us;
-    gint64 next_us;
+    gint64 next_period_us;
     guint32 sequence;
-    probe_t probe;       /* target 0: none */
-    GHashTable *helping; /* sequence -> id to pass the ack on to */
+    pending_ping_t pending_ping; /* target 0: none */
+    GHashTable *relayed_pings;   /* sequence -> id to pass the ack on to */
     gboolean changed;
     guint64 version;
-    guint64 best_version;
-    guint64 best_member;
+    guint64 newest_version;
+    guint64 newest_version_member;
 };
 
 static void
-send_free(gpointer data)
+message_free(gpointer data)
 {
-    membership_message_t *send = data;
-    g_bytes_unref(send->bytes);
-    g_free(send);
+    membership_message_t *message = data;
+    g_bytes_unref(message->bytes);
+    g_free(message);
 }
 
 static GPtrArray *
-sends_create(void)
+outbox_create(void)
 {
-    return g_ptr_array_new_with_free_func(send_free);
+    return g_ptr_array_new_with_free_func(message_free);
 }
 
 membership_t *
@@ -80,12 +80,12 @@
     m->rand = g_rand_new_with_seed((guint32)settings->seed);
     m->members =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    m->order = g_ptr_array_new();
+    m->ping_order = g_ptr_array_new();
     m->seeds = g_ptr_array_new_with_free_func(g_free);
-    m->helping = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    m->sends = sends_create();
+    m->relayed_pings = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    m->outbox = outbox_create();
     m->now_us = now_us;
-    m->next_us = now_us;
+    m->next_period_us = now_us;
     m->self = g_new0(member_t, 1);
     m->self->record = *self;
     g_hash_table_insert(m->members, &m->self->record.id, m->self);
@@ -98,10 +98,10 @@
 {
     g_rand_free(m->rand);
     g_hash_table_unref(m->members);
-    g_hash_table_unref(m->helping);
-    g_ptr_array_unref(m->order);
+    g_hash_table_unref(m->relayed_pings);
+    g_ptr_array_unref(m->ping_order);
     g_ptr_array_unref(m->seeds);
-    g_ptr_array_unref(m->sends);
+    g_ptr_array_unref(m->outbox);
     g_free(m);
 }
 
@@ -122,25 +122,26 @@
 }
 
 static guint
-telling_budget(const membership_t *m)
+transmission_limit(const membership_t *m)
 {
     guint n = g_hash_table_size(m->members) + 1;
     guint log2 = g_bit_storage(n);
-    return SPREAD_FACTOR * log2;
+    return TRANSMISSION_FACTOR * log2;
 }
 
 /* Adds changes still to be told, up to the bound. */
 static void
-add_changes(membership_t *m, GVariantBuilder *records, guint most)
+add_pending_changes(membership_t *m, GVariantBuilder *records,
+                    guint max_records)
 {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, m->members);
-    while (most > 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
+    while (max_records > 0 && g_hash_table_iter_next(&iter, NULL, &value)) {
         member_t *member = value;
-        if (member->tellings > 0) {
-            member->tellings--;
-            most--;
+        if (member->transmissions_left > 0) {
+            member->transmissions_left--;
+            max_records--;
             g_variant_builder_add_value(records,
                                         record_variant(&member->record));
         }
@@ -148,7 +149,7 @@
 }
 
 static void
-add_all(membership_t *m, GVariantBuilder *records)
+add_all_records(membership_t *m, GVariantBuilder *records)
 {
     GHashTableIter iter;
     gpointer value;
@@ -160,52 +161,53 @@
 }
 
 static membership_message_t *
-post_record(membership_t *m, const char *address, guint64 to,
-            gossip_kind_t kind, guint32 sequence, guint64 target,
-            gboolean introduce, const member_record_t *about)
+enqueue_message_about(membership_t *m, const char *address, guint64 to,
+                      gossip_kind_t kind, guint32 sequence, guint64 target,
+                      gboolean include_self, const member_record_t *subject)
 {
     GVariantBuilder records;
     g_variant_builder_init(&records, G_VARIANT_TYPE("a" RECORD_TYPE));
     if (kind == GOSSIP_SYNC) {
-        add_all(m, &records);
+        add_all_records(m, &records);
     }
     else if (kind == GOSSIP_JOIN) {
         g_variant_builder_add_value(&records,
                                     record_variant(&m->self->record));
     }
     else {
-        if (introduce) {
+        if (include_self) {
             g_variant_builder_add_value(&records,
                                         record_variant(&m->self->record));
         }
-        if (about != NULL) {
-            g_variant_builder_add_value(&records, record_variant(about));
+        if (subject != NULL) {
+            g_variant_builder_add_value(&records, record_variant(subject));
         }
-        add_changes(m, &records, RECORDS_A_MESSAGE);
+        add_pending_changes(m, &records, PIGGYBACKED_RECORDS_MAX);
     }
-    membership_message_t *send = g_new0(membership_message_t, 1);
-    g_strlcpy(send->address, address, sizeof(send->address));
-    send->to = to;
-    send->bytes = codec_write(g_variant_new(
+    membership_message_t *message = g_new0(membership_message_t, 1);
+    g_strlcpy(message->address, address, sizeof(message->address));
+    message->to = to;
+    message->bytes = codec_write(g_variant_new(
         "(yttuta" RECORD_TYPE ")", (guchar)kind, m->self->record.id, target,
         sequence, m->version, &records));
-    g_ptr_array_add(m->sends, send);
-    return send;
+    g_ptr_array_add(m->outbox, message);
+    return message;
 }
 
 static membership_message_t *
-post(membership_t *m, const char *address, guint64 to, gossip_kind_t kind,
-     guint32 sequence, guint64 target)
+enqueue_message(membership_t *m, const char *address, guint64 to,
+                gossip_kind_t kind, guint32 sequence, guint64 target)
 {
-    return post_record(m, address, to, kind, sequence, target, FALSE, NULL);
+    return enqueue_message_about(m, address, to, kind, sequence, target, FALSE,
+                                 NULL);
 }
 
 /* ---- changes ---- */
 
 static void
-tell(membership_t *m, member_t *member)
+queue_change(membership_t *m, member_t *member)
 {
-    member->tellings = telling_budget(m);
+    member->transmissions_left = transmission_limit(m);
     member->changed_us = m->now_us;
     m->changed = TRUE;
 }
@@ -215,44 +217,44 @@
 {
     if (member->record.state != state) {
         member->record.state = state;
-        tell(m, member);
+        queue_change(m, member);
     }
 }
 
 /* Raises the own rumor above one that is wrong about us. */
 static void
-refute(membership_t *m, const member_record_t *wrong)
+refute(membership_t *m, const member_record_t *claim)
 {
-    if (wrong->state == MEMBER_ALIVE &&
-        wrong->incarnation_number <= m->self->record.incarnation_number) {
+    if (claim->state == MEMBER_ALIVE &&
+        claim->incarnation_number <= m->self->record.incarnation_number) {
         return;
     }
-    if (wrong->incarnation_number >= m->self->record.incarnation_number &&
+    if (claim->incarnation_number >= m->self->record.incarnation_number &&
         m->self->record.state != MEMBER_LEFT) {
-        m->self->record.incarnation_number = wrong->incarnation_number + 1;
-        tell(m, m->self);
+        m->self->record.incarnation_number = claim->incarnation_number + 1;
+        queue_change(m, m->self);
     }
 }
 
 /* Another start of the same instance makes this one dead. */
 static void
-supersede(membership_t *m, const member_record_t *fresh)
+mark_superseded(membership_t *m, const member_record_t *newer)
 {
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, m->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         member_t *member = value;
-        if (member->record.id != fresh->id && member != m->self &&
-            strcmp(member->record.name, fresh->name) == 0 &&
-            member->record.started < fresh->started) {
+        if (member->record.id != newer->id && member != m->self &&
+            strcmp(member->record.name, newer->name) == 0 &&
+            member->record.started < newer->started) {
             set_state(m, member, MEMBER_DEAD);
         }
     }
 }
 
 static gboolean
-is_news(const member_record_t *known, const member_record_t *r)
+record_overrides(const member_record_t *known, const member_record_t *r)
 {
     if (known->state == MEMBER_LEFT || known->state == MEMBER_DEAD) {
         /* Only the member itself, with a higher rumor, comes back. */
@@ -272,14 +274,15 @@
 /* Others take a member for alive that is dead here, and nothing newer is
  * known: it is told so itself, which makes it refute. */
 static void
-challenge(membership_t *m, const member_t *member)
+notify_declared_dead(membership_t *m, const member_t *member)
 {
     const member_record_t *r = &member->record;
-    post_record(m, r->address, r->id, GOSSIP_PING, ++m->sequence, 0, TRUE, r);
+    enqueue_message_about(m, r->address, r->id, GOSSIP_PING, ++m->sequence, 0,
+                          TRUE, r);
 }
 
 static void
-learn(membership_t *m, const member_record_t *r)
+merge_record(membership_t *m, const member_record_t *r)
 {
     if (r->id == m->self->record.id) {
         refute(m, r);
@@ -294,17 +297,17 @@
         member = g_new0(member_t, 1);
         member->record = *r;
         g_hash_table_insert(m->members, &member->record.id, member);
-        supersede(m, r);
-        tell(m, member);
+        mark_superseded(m, r);
+        queue_change(m, member);
         return;
     }
-    if (is_news(&member->record, r)) {
+    if (record_overrides(&member->record, r)) {
         member->record = *r;
-        tell(m, member);
+        queue_change(m, member);
     }
     else if (member->record.state == MEMBER_DEAD && r->state == MEMBER_ALIVE &&
              r->incarnation_number == member->record.incarnation_number) {
-        challenge(m, member);
+        notify_declared_dead(m, member);
     }
 }
 
@@ -313,23 +316,23 @@
 static void
 shuffle_order(membership_t *m)
 {
-    g_ptr_array_set_size(m->order, 0);
+    g_ptr_array_set_size(m->ping_order, 0);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, m->members);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         member_t *member = value;
         if (member != m->self && member->record.state <= MEMBER_SUSPECT) {
-            g_ptr_array_add(m->order, (gpointer)member->record.id);
+            g_ptr_array_add(m->ping_order, (gpointer)member->record.id);
         }
     }
-    for (guint i = m->order->len; i > 1; i--) {
+    for (guint i = m->ping_order->len; i > 1; i--) {
         guint k = (guint)g_rand_int_range(m->rand, 0, (gint)i);
-        gpointer swap = m->order->pdata[i - 1];
-        m->order->pdata[i - 1] = m->order->pdata[k];
-        m->order->pdata[k] = swap;
+        gpointer swap = m->ping_order->pdata[i - 1];
+        m->ping_order->pdata[i - 1] = m->ping_order->pdata[k];
+        m->ping_order->pdata[k] = swap;
     }
-    m->order_at = 0;
+    m->next_ping = 0;
 }
 
 /* The next member to ping, each once a round; NULL when alone. */
@@ -337,8 +340,8 @@
 next_target(membership_t *m)
 {
     for (int rounds = 0; rounds < 2; rounds++) {
-        while (m->order_at < m->order->len) {
-            guint64 id = (guint64)m->order->pdata[m->order_at++];
+        while (m->next_ping < m->ping_order->len) {
+            guint64 id = (guint64)m->ping_order->pdata[m->next_ping++];
             member_t *member = g_hash_table_lookup(m->members, &id);
             if (member && member->record.state <= MEMBER_SUSPECT) {
                 return member;
@@ -353,55 +356,57 @@
  * silent, or the target does not know this member and so can not answer: it
  * is told who asks. */
 static void
-ping(membership_t *m, const member_t *target, gboolean again)
+ping(membership_t *m, const member_t *target, gboolean retry)
 {
-    membership_message_t *send =
-        post_record(m, target->record.address, target->record.id, GOSSIP_PING,
-                    ++m->sequence, 0, again, NULL);
-    send->reconnect = again;
+    membership_message_t *message =
+        enqueue_message_about(m, target->record.address, target->record.id,
+                              GOSSIP_PING, ++m->sequence, 0, retry, NULL);
+    message->reconnect = retry;
 }
 
 /* No answer so far: a new connection, and others are asked too. */
 static void
-ask_helpers(membership_t *m, member_t *target)
+request_indirect_pings(membership_t *m, member_t *target)
 {
-    m->probe.helped = TRUE;
+    m->pending_ping.indirect = TRUE;
     ping(m, target, TRUE);
-    for (int i = 0; i < HELPERS; i++) {
+    for (int i = 0; i < INDIRECT_PINGS; i++) {
         member_t *helper = next_target(m);
         if (helper && helper != target) {
-            post(m, helper->record.address, helper->record.id,
-                 GOSSIP_PING_REQUEST, m->sequence, target->record.id);
+            enqueue_message(m, helper->record.address, helper->record.id,
+                            GOSSIP_PING_REQUEST, m->sequence,
+                            target->record.id);
         }
     }
 }
 
 static void
-end_probe(membership_t *m)
+suspect_unanswered(membership_t *m)
 {
-    if (m->probe.target != 0) {
-        member_t *member = g_hash_table_lookup(m->members, &m->probe.target);
+    if (m->pending_ping.target != 0) {
+        member_t *member =
+            g_hash_table_lookup(m->members, &m->pending_ping.target);
         if (member && member->record.state == MEMBER_ALIVE) {
             set_state(m, member, MEMBER_SUSPECT);
         }
     }
-    m->probe = (probe_t){0};
+    m->pending_ping = (pending_ping_t){0};
 }
 
 static void
-start_probe(membership_t *m)
+start_ping(membership_t *m)
 {
-    end_probe(m);
+    suspect_unanswered(m);
     member_t *target = next_target(m);
     if (target != NULL) {
-        m->probe =
-            (probe_t){.target = target->record.id, .sent_us = m->now_us};
+        m->pending_ping = (pending_ping_t){.target = target->record.id,
+                                           .sent_us = m->now_us};
         ping(m, target, FALSE);
     }
 }
 
 static void
-age_members(membership_t *m)
+expire_members(membership_t *m)
 {
     GHashTableIter iter;
     gpointer value;
@@ -414,7 +419,7 @@
             set_state(m, member, MEMBER_DEAD);
         }
         else if (member != m->self && member->record.state >= MEMBER_DEAD &&
-                 age > m->settings.forget_us) {
+                 age > m->settings.dead_expiry_us) {
             g_hash_table_iter_remove(&iter);
         }
     }
@@ -441,12 +446,13 @@
 static void
 join_seeds(membership_t *m)
 {
-    guint asked = 0;
-    for (guint i = 0; i < m->seeds->len && asked < SEEDS_A_PERIOD; i++) {
-        const char *seed = m->seeds->pdata[m->seed_at++ % m->seeds->len];
+    guint joins_sent = 0;
+    for (guint i = 0; i < m->seeds->len && joins_sent < SEEDS_PER_PERIOD_MAX;
+         i++) {
+        const char *seed = m->seeds->pdata[m->next_seed++ % m->seeds->len];
         if (!address_is_alive(m, seed)) {
-            post(m, seed, 0, GOSSIP_JOIN, ++m->sequence, 0);
-            asked++;
+            enqueue_message(m, seed, 0, GOSSIP_JOIN, ++m->sequence, 0);
+            joins_sent++;
         }
     }
 }
@@ -455,53 +461,55 @@
 membership_tick(membership_t *m, gint64 now_us)
 {
     m->now_us = MAX(m->now_us, now_us);
-    if (m->probe.target != 0 && !m->probe.helped &&
-        m->now_us - m->probe.sent_us > m->settings.period_us / 2) {
-        member_t *target = g_hash_table_lookup(m->members, &m->probe.target);
+    if (m->pending_ping.target != 0 && !m->pending_ping.indirect &&
+        m->now_us - m->pending_ping.sent_us > m->settings.period_us / 2) {
+        member_t *target =
+            g_hash_table_lookup(m->members, &m->pending_ping.target);
         if (target != NULL) {
-            ask_helpers(m, target);
+            request_indirect_pings(m, target);
         }
     }
-    age_members(m);
-    if (m->now_us < m->next_us) {
+    expire_members(m);
+    if (m->now_us < m->next_period_us) {
         return;
     }
-    m->next_us = m->now_us + m->settings.period_us;
+    m->next_period_us = m->now_us + m->settings.period_us;
     join_seeds(m);
-    start_probe(m);
+    start_ping(m);
 }
 
 /* ---- receiving ---- */
 
 static void
-heard_from(membership_t *m, guint64 id, guint64 version)
+record_contact(membership_t *m, guint64 id, guint64 version)
 {
-    if (m->probe.target == id) {
-        m->probe = (probe_t){0};
+    if (m->pending_ping.target == id) {
+        m->pending_ping = (pending_ping_t){0};
     }
-    if (version > m->best_version) {
-        m->best_version = version;
-        m->best_member = id;
+    if (version > m->newest_version) {
+        m->newest_version = version;
+        m->newest_version_member = id;
     }
 }
 
 static void
 handle_ack(membership_t *m, guint64 from, guint32 sequence, guint64 target)
 {
-    guint64 about = target ? target : from;
-    if (m->probe.target == about) {
-        m->probe = (probe_t){0};
+    guint64 acked = target ? target : from;
+    if (m->pending_ping.target == acked) {
+        m->pending_ping = (pending_ping_t){0};
     }
-    guint64 *asker =
-        g_hash_table_lookup(m->helping, GUINT_TO_POINTER(sequence));
-    if (asker == NULL || target != 0) {
+    guint64 *requester =
+        g_hash_table_lookup(m->relayed_pings, GUINT_TO_POINTER(sequence));
+    if (requester == NULL || target != 0) {
         return;
     }
-    member_t *member = g_hash_table_lookup(m->members, asker);
+    member_t *member = g_hash_table_lookup(m->members, requester);
     if (member != NULL) {
-        post(m, member->record.address, *asker, GOSSIP_ACK, 0, from);
+        enqueue_message(m, member->record.address, *requester, GOSSIP_ACK, 0,
+                        from);
     }
-    g_hash_table_remove(m->helping, GUINT_TO_POINTER(sequence));
+    g_hash_table_remove(m->relayed_pings, GUINT_TO_POINTER(sequence));
 }
 
 static void
@@ -511,11 +519,11 @@
     if (member == NULL) {
         return;
     }
-    if (g_hash_table_size(m->helping) > RECORDS_A_SYNC) {
-        g_hash_table_remove_all(m->helping);
+    if (g_hash_table_size(m->relayed_pings) > RELAYED_PINGS_MAX) {
+        g_hash_table_remove_all(m->relayed_pings);
     }
     ping(m, member, FALSE);
-    g_hash_table_insert(m->helping, GUINT_TO_POINTER(m->sequence),
+    g_hash_table_insert(m->relayed_pings, GUINT_TO_POINTER(m->sequence),
                         g_memdup2(&from, sizeof(from)));
 }
 
@@ -543,8 +551,8 @@
 }
 
 static void
-reply(membership_t *m, gossip_kind_t kind, guint64 from, guint32 sequence,
-      guint64 target)
+handle_request(membership_t *m, gossip_kind_t kind, guint64 from,
+               guint32 sequence, guint64 target)
 {
     member_t *sender = g_hash_table_lookup(m->members, &from);
     if (sender == NULL) {
@@ -552,10 +560,10 @@
     }
     const char *address = sender->record.address;
     if (kind == GOSSIP_PING) {
-        post(m, address, from, GOSSIP_ACK, sequence, 0);
+        enqueue_message(m, address, from, GOSSIP_ACK, sequence, 0);
     }
     else if (kind == GOSSIP_JOIN) {
-        post(m, address, from, GOSSIP_SYNC, sequence, 0);
+        enqueue_message(m, address, from, GOSSIP_SYNC, sequence, 0);
     }
     else if (kind == GOSSIP_PING_REQUEST) {
         handle_ping_request(m, from, target);
@@ -580,27 +588,27 @@
                   &records);
     member_record_t r;
     while (read_record(records, &r)) {
-        learn(m, &r);
+        merge_record(m, &r);
     }
     g_variant_iter_free(records);
     g_variant_unref(v);
-    if (kind >= GOSSIP_KINDS || from == m->self->record.id) {
+    if (kind >= GOSSIP_KIND_COUNT || from == m->self->record.id) {
         return FALSE;
     }
-    heard_from(m, from, version);
+    record_contact(m, from, version);
     if (kind == GOSSIP_ACK) {
         handle_ack(m, from, sequence, target);
     }
-    reply(m, (gossip_kind_t)kind, from, sequence, target);
+    handle_request(m, (gossip_kind_t)kind, from, sequence, target);
     return TRUE;
 }
 
 /* ---- self ---- */
 
 static void
-tell_some(membership_t *m)
+ping_some_members(membership_t *m)
 {
-    for (guint i = 0; i < 2 * HELPERS; i++) {
+    for (guint i = 0; i < 2 * INDIRECT_PINGS; i++) {
         member_t *target = next_target(m);
         if (target != NULL) {
             ping(m, target, FALSE);
@@ -614,7 +622,7 @@
     m->now_us = MAX(m->now_us, now_us);
     m->self->record.incarnation_number++;
     set_state(m, m->self, MEMBER_LEFT);
-    tell_some(m);
+    ping_some_members(m);
 }
 
 void
@@ -623,33 +631,33 @@
     m->now_us = MAX(m->now_us, now_us);
     m->self->record.incarnation_number++;
     m->self->record.draining = TRUE;
-    tell(m, m->self);
-    tell_some(m);
+    queue_change(m, m->self);
+    ping_some_members(m);
 }
 
 void
 membership_set_version(membership_t *m, guint64 version)
 {
     m->version = version;
-    if (version >= m->best_version) {
-        m->best_version = version;
-        m->best_member = m->self->record.id;
+    if (version >= m->newest_version) {
+        m->newest_version = version;
+        m->newest_version_member = m->self->record.id;
     }
 }
 
 guint64
 membership_newest_version(const membership_t *m, guint64 *member)
 {
-    *member = m->best_member;
-    return m->best_version;
+    *member = m->newest_version_member;
+    return m->newest_version;
 }
 
 GPtrArray *
 membership_take_messages(membership_t *m)
 {
-    GPtrArray *sends = m->sends;
-    m->sends = sends_create();
-    return sends;
+    GPtrArray *messages = m->outbox;
+    m->outbox = outbox_create();
+    return messages;
 }
 
 gboolean
@@ -661,7 +669,7 @@
 }
 
 static gint
-by_name(gconstpointer a, gconstpointer b)
+compare_by_name(gconstpointer a, gconstpointer b)
 {
     return strcmp(((const member_record_t *)a)->name,
                   ((const member_record_t *)b)->name);
@@ -677,7 +685,7 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         g_array_append_val(list, ((member_t *)value)->record);
     }
-    g_array_sort(list, by_name);
+    g_array_sort(list, compare_by_name);
     return list;
 }
 
--- a/policy/voter.c
+++ b/policy/voter.c
@@ -42,7 +42,7 @@
 }
 
 voter_message_t *
-voter_message_to(voter_t *v, voter_message_kind_t kind, guint64 to)
+voter_enqueue_message(voter_t *v, voter_message_kind_t kind, guint64 to)
 {
     voter_message_t *message = g_new0(voter_message_t, 1);
     message->kind = kind;
@@ -56,25 +56,26 @@
 /* ---- roles ---- */
 
 void
-voter_reset_timeout(voter_t *v)
+voter_reset_election_timer(voter_t *v)
 {
     gint64 spread = v->settings.election_timeout_us;
-    v->timeout_us = v->now_us + v->settings.election_timeout_us +
-                    (gint64)(g_rand_double(v->rand) * (double)spread);
+    v->election_deadline_us =
+        v->now_us + v->settings.election_timeout_us +
+        (gint64)(g_rand_double(v->rand) * (double)spread);
 }
 
 void
-voter_follow(voter_t *v, guint64 term, guint64 leader)
+voter_become_follower(voter_t *v, guint64 term, guint64 leader)
 {
     if (term > v->hard.term) {
         v->hard = (voter_hard_state_t){.term = term};
         v->hard_state_changed = TRUE;
     }
     v->role = ROLE_FOLLOWER;
-    v->prevoting = FALSE;
+    v->in_prevote = FALSE;
     v->leader = leader;
-    v->lease_us = 0;
-    voter_reset_timeout(v);
+    v->lease_end_us = 0;
+    voter_reset_election_timer(v);
 }
 
 /* ---- membership ---- */
@@ -91,7 +92,7 @@
 }
 
 gboolean
-voter_may_vote(const voter_t *v, guint64 id)
+voter_is_voting_member(const voter_t *v, guint64 id)
 {
     const voter_member_t *member = voter_config_find(&v->config, id);
     return member && !member->learner;
@@ -126,7 +127,7 @@
 gboolean
 voter_config_pending(const voter_t *v)
 {
-    return v->config_index > v->commit;
+    return v->config_index > v->commit_index;
 }
 
 void
@@ -136,16 +137,18 @@
     if (m->to != v->settings.id) {
         return; /* for an identity this voter no longer has */
     }
-    gboolean asks = m->kind == VOTER_PREVOTE || m->kind == VOTER_VOTE;
+    gboolean is_vote_request =
+        m->kind == VOTER_PREVOTE || m->kind == VOTER_VOTE;
     if (m->kind == VOTER_VOTE &&
-        (voter_leader_is_fresh(v) ||
-         (v->role == ROLE_LEADER && v->now_us < v->lease_us))) {
+        (voter_has_recent_leader(v) ||
+         (v->role == ROLE_LEADER && v->now_us < v->lease_end_us))) {
         return; /* the lease still holds: the vote waits */
     }
     gboolean granted_prevote = m->kind == VOTER_PREVOTE_REPLY && m->granted;
-    if (m->term > v->hard.term && !asks && !granted_prevote) {
-        gboolean leads = m->kind == VOTER_APPEND || m->kind == VOTER_SNAPSHOT;
-        voter_follow(v, m->term, leads ? m->from : 0);
+    if (m->term > v->hard.term && !is_vote_request && !granted_prevote) {
+        gboolean from_leader =
+            m->kind == VOTER_APPEND || m->kind == VOTER_SNAPSHOT;
+        voter_become_follower(v, m->term, from_leader ? m->from : 0);
     }
     switch (m->kind) {
     case VOTER_PREVOTE:
@@ -177,18 +180,19 @@
 {
     v->now_us = MAX(v->now_us, now_us);
     if (v->role != ROLE_LEADER) {
-        if (v->now_us >= v->timeout_us) {
+        if (v->now_us >= v->election_deadline_us) {
             voter_start_prevote(v);
         }
         return;
     }
     voter_advance_lease(v);
-    if (v->now_us - v->quorum_us > 2 * v->settings.election_timeout_us) {
-        voter_follow(v, v->hard.term, 0);
+    if (v->now_us - v->quorum_contact_us >
+        2 * v->settings.election_timeout_us) {
+        voter_become_follower(v, v->hard.term, 0);
         return;
     }
-    if (v->now_us >= v->beat_us) {
-        voter_send_all(v);
+    if (v->now_us >= v->next_heartbeat_us) {
+        voter_send_append_all(v);
     }
 }
 
@@ -201,25 +205,25 @@
     if (v->role != ROLE_LEADER) {
         return VOTER_ERROR_NOT_LEADER;
     }
-    voter_append_own(v, ENTRY_COMMAND, data);
+    voter_append_as_leader(v, ENTRY_COMMAND, data);
     *index = replica_log_last_index(&v->log);
-    v->beat_us = v->now_us; /* sent with the next ready, batched */
+    v->next_heartbeat_us = v->now_us; /* sent with the next ready, batched */
     return VOTER_OK;
 }
 
 /* How many members differ between two memberships. */
 static guint
-config_distance(const voter_config_t *a, const voter_config_t *b)
+count_member_changes(const voter_config_t *a, const voter_config_t *b)
 {
-    guint distance = 0;
+    guint changes = 0;
     for (guint i = 0; i < a->count; i++) {
         const voter_member_t *other = voter_config_find(b, a->members[i].id);
-        distance += other == NULL || other->learner != a->members[i].learner;
+        changes += other == NULL || other->learner != a->members[i].learner;
     }
     for (guint i = 0; i < b->count; i++) {
-        distance += voter_config_find(a, b->members[i].id) == NULL;
+        changes += voter_config_find(a, b->members[i].id) == NULL;
     }
-    return distance;
+    return changes;
 }
 
 int
@@ -230,18 +234,18 @@
         return VOTER_ERROR_NOT_LEADER;
     }
     /* A new leader must commit in its own term first (Ongaro, 2015). */
-    if (voter_config_pending(v) || v->commit < v->term_start) {
+    if (voter_config_pending(v) || v->commit_index < v->term_start_index) {
         return VOTER_ERROR_CONFIG_PENDING;
     }
-    if (config_distance(&v->config, config) != 1) {
+    if (count_member_changes(&v->config, config) != 1) {
         return VOTER_ERROR_CONFIG_INVALID;
     }
     GBytes *data = voter_config_write(config);
-    voter_append_own(v, ENTRY_CONFIG, data);
+    voter_append_as_leader(v, ENTRY_CONFIG, data);
     g_bytes_unref(data);
     voter_config_refresh(v);
     voter_progress_refresh(v);
-    v->beat_us = v->now_us;
+    v->next_heartbeat_us = v->now_us;
     return VOTER_OK;
 }
 
@@ -253,8 +257,8 @@
         return;
     }
     /* It does not stand again before the others had their chance. */
-    voter_follow(v, v->hard.term, 0);
-    v->timeout_us = v->now_us + 4 * v->settings.election_timeout_us;
+    voter_become_follower(v, v->hard.term, 0);
+    v->election_deadline_us = v->now_us + 4 * v->settings.election_timeout_us;
 }
 
 /* ---- what the driver does ---- */
@@ -264,8 +268,8 @@
 {
     /* The driver makes the same ready's entries durable before it applies,
      * so a snapshot never holds more than the disk. */
-    guint64 until = MIN(v->commit, replica_log_last_index(&v->log));
-    for (guint64 i = v->applied + 1; i <= until; i++) {
+    guint64 until = MIN(v->commit_index, replica_log_last_index(&v->log));
+    for (guint64 i = v->applied_index + 1; i <= until; i++) {
         g_ptr_array_add(ready->committed,
                         log_entry_copy(replica_log_get(&v->log, i)));
     }
@@ -274,8 +278,8 @@
 gboolean
 voter_ready(voter_t *v, voter_ready_t *ready)
 {
-    if (v->role == ROLE_LEADER && v->now_us >= v->beat_us) {
-        voter_send_all(v);
+    if (v->role == ROLE_LEADER && v->now_us >= v->next_heartbeat_us) {
+        voter_send_append_all(v);
     }
     *ready = (voter_ready_t){
         .hard_state_changed = v->hard_state_changed,
@@ -294,13 +298,13 @@
     v->hard_state_changed = FALSE;
     v->append_from = 0;
     v->install = FALSE;
-    gboolean any = ready->hard_state_changed || ready->append_from > 0 ||
-                   ready->install || ready->messages->len > 0 ||
-                   ready->committed->len > 0;
-    if (!any) {
+    gboolean has_work = ready->hard_state_changed || ready->append_from > 0 ||
+                        ready->install || ready->messages->len > 0 ||
+                        ready->committed->len > 0;
+    if (!has_work) {
         voter_ready_clear(ready);
     }
-    return any;
+    return has_work;
 }
 
 void
@@ -308,18 +312,18 @@
 {
     v->now_us = MAX(v->now_us, now_us);
     if (ready->append_from > 0) {
-        v->durable = replica_log_last_index(&v->log);
+        v->durable_index = replica_log_last_index(&v->log);
     }
     if (ready->committed->len > 0) {
         const log_entry_t *last =
             ready->committed->pdata[ready->committed->len - 1];
-        v->applied = MAX(v->applied, last->index);
+        v->applied_index = MAX(v->applied_index, last->index);
     }
     if (v->role == ROLE_LEADER) {
-        guint64 before = v->commit;
+        guint64 previous_commit = v->commit_index;
         voter_advance_commit(v);
-        if (v->role == ROLE_LEADER && v->commit > before) {
-            v->beat_us = v->now_us;
+        if (v->role == ROLE_LEADER && v->commit_index > previous_commit) {
+            v->next_heartbeat_us = v->now_us;
         }
     }
 }
@@ -376,19 +380,19 @@
     for (guint i = 0; entries && i < entries->len; i++) {
         replica_log_append(&v->log, entries->pdata[i]);
     }
-    v->durable = replica_log_last_index(&v->log);
-    v->commit = snapshot->index;
-    v->applied = snapshot->index;
+    v->durable_index = replica_log_last_index(&v->log);
+    v->commit_index = snapshot->index;
+    v->applied_index = snapshot->index;
     v->votes = g_hash_table_new(NULL, NULL);
     v->outbox = g_ptr_array_new_with_free_func(message_free);
     v->now_us = now_us;
     /* It may have promised a leader its lease just before it went down. */
-    v->heard_us = now_us;
+    v->leader_contact_us = now_us;
     voter_config_refresh(v);
-    voter_reset_timeout(v);
-    if (v->config.count == 1 && voter_may_vote(v, settings->id)) {
-        v->heard_us = now_us - settings->election_timeout_us;
-        v->timeout_us = now_us; /* alone: nobody to wait for */
+    voter_reset_election_timer(v);
+    if (v->config.count == 1 && voter_is_voting_member(v, settings->id)) {
+        v->leader_contact_us = now_us - settings->election_timeout_us;
+        v->election_deadline_us = now_us; /* alone: nobody to wait for */
     }
     return v;
 }
@@ -425,13 +429,13 @@
 guint64
 voter_commit_index(const voter_t *v)
 {
-    return v->commit;
+    return v->commit_index;
 }
 
 guint64
 voter_applied_index(const voter_t *v)
 {
-    return v->applied;
+    return v->applied_index;
 }
 
 const replica_log_t *
@@ -455,14 +459,14 @@
 gint64
 voter_lease_end_us(const voter_t *v)
 {
-    return v->role == ROLE_LEADER ? v->lease_us : 0;
+    return v->role == ROLE_LEADER ? v->lease_end_us : 0;
 }
 
 gboolean
 voter_may_read(const voter_t *v, gint64 now_us)
 {
-    return v->role == ROLE_LEADER && now_us < v->lease_us &&
-           v->applied >= v->term_start;
+    return v->role == ROLE_LEADER && now_us < v->lease_end_us &&
+           v->applied_index >= v->term_start_index;
 }
 
 guint64
--- a/policy/voter_codec.c
+++ b/policy/voter_codec.c
@@ -74,10 +74,11 @@
         g_variant_builder_add(&entries, "(tty@ay)", e->index, e->term,
                               (guchar)e->kind, bytes_variant(e->data));
     }
-    return codec_write(g_variant_new(
-        "(ytttttttba(ttyay)@a(tbs)@ay)", (guchar)m->kind, m->from, m->to,
-        m->term, m->index, m->log_term, m->commit, m->round, m->granted,
-        &entries, config_variant(&m->config), bytes_variant(m->snapshot)));
+    return codec_write(
+        g_variant_new("(ytttttttba(ttyay)@a(tbs)@ay)", (guchar)m->kind,
+                      m->from, m->to, m->term, m->index, m->log_term,
+                      m->commit_index, m->send_time_us, m->granted, &entries,
+                      config_variant(&m->config), bytes_variant(m->snapshot)));
 }
 
 static GBytes *
@@ -133,8 +134,8 @@
     GVariantIter *config;
     GVariant *snapshot;
     g_variant_get(v, "(ytttttttba(ttyay)a(tbs)@ay)", &kind, &m->from, &m->to,
-                  &m->term, &m->index, &m->log_term, &m->commit, &m->round,
-                  &m->granted, &entries, &config, &snapshot);
+                  &m->term, &m->index, &m->log_term, &m->commit_index,
+                  &m->send_time_us, &m->granted, &entries, &config, &snapshot);
     m->kind = (voter_message_kind_t)kind;
     m->entries = read_entries(entries, m->index);
     m->snapshot = bytes_of(snapshot);
--- a/policy/voter_election.c
+++ b/policy/voter_election.c
@@ -1,7 +1,7 @@
 #include "voter_state.h"
 
 static void
-ask_votes(voter_t *v, gboolean pre)
+request_votes(voter_t *v, gboolean pre)
 {
     g_hash_table_remove_all(v->votes);
     for (guint i = 0; i < v->config.count; i++) {
@@ -9,63 +9,63 @@
         if (member->learner || member->id == v->settings.id) {
             continue;
         }
-        voter_message_t *m =
-            voter_message_to(v, pre ? VOTER_PREVOTE : VOTER_VOTE, member->id);
+        voter_message_t *m = voter_enqueue_message(
+            v, pre ? VOTER_PREVOTE : VOTER_VOTE, member->id);
         m->term = pre ? v->hard.term + 1 : v->hard.term;
         m->index = replica_log_last_index(&v->log);
         m->log_term = replica_log_last_term(&v->log);
     }
 }
 
-static void take_vote(voter_t *v, guint64 from);
+static void record_vote(voter_t *v, guint64 from);
 
 static void
 start_election(voter_t *v)
 {
     v->role = ROLE_CANDIDATE;
-    v->prevoting = FALSE;
+    v->in_prevote = FALSE;
     v->leader = 0;
-    v->hard =
-        (voter_hard_state_t){.term = v->hard.term + 1, .vote = v->settings.id};
+    v->hard = (voter_hard_state_t){.term = v->hard.term + 1,
+                                   .voted_for = v->settings.id};
     v->hard_state_changed = TRUE;
-    voter_reset_timeout(v);
-    ask_votes(v, FALSE);
-    take_vote(v, v->settings.id);
+    voter_reset_election_timer(v);
+    request_votes(v, FALSE);
+    record_vote(v, v->settings.id);
 }
 
 void
 voter_start_prevote(voter_t *v)
 {
-    voter_reset_timeout(v);
-    if (!voter_may_vote(v, v->settings.id)) {
+    voter_reset_election_timer(v);
+    if (!voter_is_voting_member(v, v->settings.id)) {
         return;
     }
     v->role = ROLE_CANDIDATE;
-    v->prevoting = TRUE;
+    v->in_prevote = TRUE;
     v->leader = 0;
-    ask_votes(v, TRUE);
-    take_vote(v, v->settings.id);
+    request_votes(v, TRUE);
+    record_vote(v, v->settings.id);
 }
 
 static void
 become_leader(voter_t *v)
 {
     v->role = ROLE_LEADER;
-    v->prevoting = FALSE;
+    v->in_prevote = FALSE;
     v->leader = v->settings.id;
-    v->lease_us = 0;
-    v->quorum_us = v->now_us;
+    v->lease_end_us = 0;
+    v->quorum_contact_us = v->now_us;
     v->progress_count = 0;
     voter_progress_refresh(v);
     GBytes *empty = g_bytes_new(NULL, 0);
-    voter_append_own(v, ENTRY_NOOP, empty);
+    voter_append_as_leader(v, ENTRY_NOOP, empty);
     g_bytes_unref(empty);
-    v->term_start = replica_log_last_index(&v->log);
-    voter_send_all(v);
+    v->term_start_index = replica_log_last_index(&v->log);
+    voter_send_append_all(v);
 }
 
 static void
-take_vote(voter_t *v, guint64 from)
+record_vote(voter_t *v, guint64 from)
 {
     g_hash_table_add(v->votes, (gpointer)from);
     guint granted = 0;
@@ -77,7 +77,7 @@
     if (granted < voter_quorum(v)) {
         return;
     }
-    if (v->prevoting) {
+    if (v->in_prevote) {
         start_election(v);
     }
     else {
@@ -96,19 +96,21 @@
 }
 
 gboolean
-voter_leader_is_fresh(const voter_t *v)
+voter_has_recent_leader(const voter_t *v)
 {
     return v->role != ROLE_LEADER &&
-           v->now_us - v->heard_us < v->settings.election_timeout_us;
+           v->now_us - v->leader_contact_us < v->settings.election_timeout_us;
 }
 
 void
 voter_handle_prevote(voter_t *v, const voter_message_t *m)
 {
-    gboolean leading = v->role == ROLE_LEADER && v->now_us < v->lease_us;
-    voter_message_t *reply = voter_message_to(v, VOTER_PREVOTE_REPLY, m->from);
+    gboolean holds_lease =
+        v->role == ROLE_LEADER && v->now_us < v->lease_end_us;
+    voter_message_t *reply =
+        voter_enqueue_message(v, VOTER_PREVOTE_REPLY, m->from);
     reply->granted = m->term > v->hard.term && log_up_to_date(v, m) &&
-                     !voter_leader_is_fresh(v) && !leading;
+                     !voter_has_recent_leader(v) && !holds_lease;
     reply->term = reply->granted ? m->term : v->hard.term;
 }
 
@@ -116,19 +118,21 @@
 voter_handle_vote(voter_t *v, const voter_message_t *m)
 {
     if (m->term > v->hard.term) {
-        voter_follow(v, m->term, 0);
+        voter_become_follower(v, m->term, 0);
     }
-    gboolean free_vote = v->hard.vote == 0 || v->hard.vote == m->from;
+    gboolean vote_available =
+        v->hard.voted_for == 0 || v->hard.voted_for == m->from;
     gboolean grant =
-        m->term == v->hard.term && free_vote && log_up_to_date(v, m);
-    if (grant && v->hard.vote == 0) {
-        v->hard.vote = m->from;
+        m->term == v->hard.term && vote_available && log_up_to_date(v, m);
+    if (grant && v->hard.voted_for == 0) {
+        v->hard.voted_for = m->from;
         v->hard_state_changed = TRUE;
     }
     if (grant) {
-        voter_reset_timeout(v);
+        voter_reset_election_timer(v);
     }
-    voter_message_t *reply = voter_message_to(v, VOTER_VOTE_REPLY, m->from);
+    voter_message_t *reply =
+        voter_enqueue_message(v, VOTER_VOTE_REPLY, m->from);
     reply->granted = grant;
 }
 
@@ -137,8 +141,8 @@
 {
     gboolean pre = m->kind == VOTER_PREVOTE_REPLY;
     guint64 expected = pre ? v->hard.term + 1 : v->hard.term;
-    if (v->role == ROLE_CANDIDATE && v->prevoting == pre && m->granted &&
+    if (v->role == ROLE_CANDIDATE && v->in_prevote == pre && m->granted &&
         m->term == expected) {
-        take_vote(v, m->from);
+        record_vote(v, m->from);
     }
 }
--- a/policy/voter_repair.c
+++ b/policy/voter_repair.c
@@ -7,8 +7,8 @@
      * long gives its place to the newcomer. Sooner than the 4 s after which
      * the platform takes a newcomer for caught up and the next machine may
      * lose its disk: until then three voters of four must stay. */
-    DEAD_ELECTIONS = 4,
-    FRESH_ELECTIONS = 2,
+    DEAD_ELECTION_TIMEOUTS = 4,
+    RECENT_ELECTION_TIMEOUTS = 2,
     VOTERS_MIN = 3,
 };
 
@@ -26,7 +26,7 @@
 
 /* The other identity under the same name, or 0. */
 static guint64
-old_identity(const voter_config_t *config, const char *name, guint64 id)
+find_previous_id(const voter_config_t *config, const char *name, guint64 id)
 {
     for (guint i = 0; i < config->count; i++) {
         const voter_member_t *m = &config->members[i];
@@ -53,7 +53,7 @@
     if (member && !member->learner) {
         return voter_config_pending(voter) ? REPAIR_PENDING : REPAIR_DONE;
     }
-    guint64 old = old_identity(&config, name, id);
+    guint64 previous_id = find_previous_id(&config, name, id);
     if (member == NULL) {
         if (config.count >= VOTER_MEMBERS_MAX) {
             return REPAIR_PENDING;
@@ -63,8 +63,8 @@
     else if (voter_match_index(voter, id) < voter_commit_index(voter)) {
         return REPAIR_PENDING;
     }
-    else if (old != 0) {
-        voter_config_remove(&config, old);
+    else if (previous_id != 0) {
+        voter_config_remove(&config, previous_id);
     }
     else {
         member->learner = FALSE;
@@ -79,25 +79,28 @@
 {
     voter_config_t config = *voter_config(voter);
     gint64 election_timeout_us = voter_election_timeout_us(voter);
-    guint64 dead = 0;
+    guint64 dead_id = 0;
     if (voter_config_pending(voter) || config.count <= VOTERS_MIN ||
         config.count % 2 == 1) {
         return 0;
     }
     for (guint i = 0; i < config.count; i++) {
-        if (silent_us[i] > DEAD_ELECTIONS * election_timeout_us && dead != 0) {
+        if (silent_us[i] > DEAD_ELECTION_TIMEOUTS * election_timeout_us &&
+            dead_id != 0) {
             return 0;
         }
-        if (silent_us[i] > DEAD_ELECTIONS * election_timeout_us) {
-            dead = config.members[i].id;
+        if (silent_us[i] > DEAD_ELECTION_TIMEOUTS * election_timeout_us) {
+            dead_id = config.members[i].id;
         }
-        else if (silent_us[i] > FRESH_ELECTIONS * election_timeout_us) {
+        else if (silent_us[i] >
+                 RECENT_ELECTION_TIMEOUTS * election_timeout_us) {
             return 0;
         }
     }
-    if (dead == 0) {
+    if (dead_id == 0) {
         return 0;
     }
-    voter_config_remove(&config, dead);
-    return voter_propose_config(voter, &config, now_us) == VOTER_OK ? dead : 0;
+    voter_config_remove(&config, dead_id);
+    return voter_propose_config(voter, &config, now_us) == VOTER_OK ? dead_id
+                                                                    : 0;
 }
--- a/policy/voter_replicate.c
+++ b/policy/voter_replicate.c
@@ -4,12 +4,12 @@
 
 #include "carobloom/policy/voter_codec.h"
 
-static const double LEASE_SHARE = 0.9; /* the rest covers clock drift */
+static const double LEASE_FRACTION = 0.9; /* the rest covers clock drift */
 
 /* ---- members, as the leader knows them ---- */
 
 static progress_t *
-progress_of(voter_t *v, guint64 id)
+find_progress(voter_t *v, guint64 id)
 {
     for (guint i = 0; i < v->progress_count; i++) {
         if (v->progress[i].id == id) {
@@ -25,12 +25,12 @@
     progress_t fresh[VOTER_MEMBERS_MAX];
     for (guint i = 0; i < v->config.count; i++) {
         guint64 id = v->config.members[i].id;
-        progress_t *known = progress_of(v, id);
+        progress_t *known = find_progress(v, id);
         fresh[i] =
             known ? *known
                   : (progress_t){.id = id,
                                  .next = replica_log_last_index(&v->log) + 1,
-                                 .heard_us = v->now_us};
+                                 .contact_us = v->now_us};
     }
     memcpy(v->progress, fresh, sizeof(progress_t) * v->config.count);
     v->progress_count = v->config.count;
@@ -41,16 +41,16 @@
 static void
 send_snapshot(voter_t *v, progress_t *p)
 {
-    if (v->now_us - p->snapshot_us < v->settings.election_timeout_us &&
-        p->snapshot_us > 0) {
+    if (v->now_us - p->snapshot_sent_us < v->settings.election_timeout_us &&
+        p->snapshot_sent_us > 0) {
         return;
     }
-    p->snapshot_us = v->now_us;
-    voter_message_t *m = voter_message_to(v, VOTER_SNAPSHOT, p->id);
+    p->snapshot_sent_us = v->now_us;
+    voter_message_t *m = voter_enqueue_message(v, VOTER_SNAPSHOT, p->id);
     m->index = v->snapshot.index;
     m->log_term = v->snapshot.term;
     m->config = v->snapshot.config;
-    m->round = (guint64)v->now_us;
+    m->send_time_us = (guint64)v->now_us;
     m->snapshot = v->snapshot.data ? g_bytes_ref(v->snapshot.data)
                                    : g_bytes_new(NULL, 0);
 }
@@ -63,11 +63,11 @@
         send_snapshot(v, p);
         return;
     }
-    voter_message_t *m = voter_message_to(v, VOTER_APPEND, p->id);
+    voter_message_t *m = voter_enqueue_message(v, VOTER_APPEND, p->id);
     m->index = previous;
     m->log_term = replica_log_term(&v->log, previous);
-    m->commit = v->commit;
-    m->round = (guint64)v->now_us;
+    m->commit_index = v->commit_index;
+    m->send_time_us = (guint64)v->now_us;
     m->entries = g_ptr_array_new_with_free_func(voter_entry_free);
     gsize bytes = 0;
     while (m->entries->len < VOTER_MESSAGE_ENTRIES_MAX &&
@@ -83,9 +83,9 @@
 }
 
 void
-voter_send_all(voter_t *v)
+voter_send_append_all(voter_t *v)
 {
-    v->beat_us = v->now_us + v->settings.heartbeat_us;
+    v->next_heartbeat_us = v->now_us + v->settings.heartbeat_us;
     for (guint i = 0; i < v->progress_count; i++) {
         if (v->progress[i].id != v->settings.id) {
             send_append(v, &v->progress[i]);
@@ -94,7 +94,7 @@
 }
 
 static gint
-compare_u64_down(gconstpointer a, gconstpointer b)
+compare_u64_descending(gconstpointer a, gconstpointer b)
 {
     guint64 x = *(const guint64 *)a;
     guint64 y = *(const guint64 *)b;
@@ -108,43 +108,44 @@
     guint64 values[VOTER_MEMBERS_MAX];
     guint count = 0;
     for (guint i = 0; i < v->progress_count; i++) {
-        if (voter_may_vote(v, v->progress[i].id)) {
+        if (voter_is_voting_member(v, v->progress[i].id)) {
             values[count++] = value(v, &v->progress[i]);
         }
     }
     if (count == 0) {
         return 0;
     }
-    qsort(values, count, sizeof(guint64), compare_u64_down);
+    qsort(values, count, sizeof(guint64), compare_u64_descending);
     return values[voter_quorum(v) - 1];
 }
 
 static guint64
-value_match(voter_t *v, progress_t *p)
+durable_match(voter_t *v, progress_t *p)
 {
-    return p->id == v->settings.id ? v->durable : p->match;
+    return p->id == v->settings.id ? v->durable_index : p->match;
 }
 
 static guint64
-value_round(voter_t *v, progress_t *p)
+acked_send_time(voter_t *v, progress_t *p)
 {
-    return p->id == v->settings.id ? (guint64)v->now_us : p->acked_round;
+    return p->id == v->settings.id ? (guint64)v->now_us
+                                   : p->acked_send_time_us;
 }
 
 void
 voter_advance_commit(voter_t *v)
 {
-    guint64 index = quorum_value(v, value_match);
+    guint64 index = quorum_value(v, durable_match);
     /* Only entries of the own term are committed by counting. */
-    if (index > v->commit &&
+    if (index > v->commit_index &&
         replica_log_term(&v->log, index) == v->hard.term) {
-        v->commit = index;
+        v->commit_index = index;
         gboolean removed =
             voter_config_find(&v->config, v->settings.id) == NULL &&
-            v->config_index <= v->commit;
+            v->config_index <= v->commit_index;
         if (removed) {
-            voter_send_all(v);
-            voter_follow(v, v->hard.term, 0);
+            voter_send_append_all(v);
+            voter_become_follower(v, v->hard.term, 0);
         }
     }
 }
@@ -152,19 +153,19 @@
 void
 voter_advance_lease(voter_t *v)
 {
-    gint64 round = (gint64)quorum_value(v, value_round);
-    if (round == 0) {
+    gint64 acked_us = (gint64)quorum_value(v, acked_send_time);
+    if (acked_us == 0) {
         return;
     }
-    v->quorum_us = MAX(v->quorum_us, round);
-    v->lease_us =
-        MAX(v->lease_us,
-            round + (gint64)(LEASE_SHARE *
-                             (double)v->settings.election_timeout_us));
+    v->quorum_contact_us = MAX(v->quorum_contact_us, acked_us);
+    v->lease_end_us =
+        MAX(v->lease_end_us,
+            acked_us + (gint64)(LEASE_FRACTION *
+                                (double)v->settings.election_timeout_us));
 }
 
 void
-voter_append_own(voter_t *v, entry_kind_t kind, GBytes *data)
+voter_append_as_leader(voter_t *v, entry_kind_t kind, GBytes *data)
 {
     log_entry_t entry = {
         .index = replica_log_last_index(&v->log) + 1,
@@ -182,7 +183,7 @@
 
 /* Takes the entries that are new; a conflict cuts the own tail. */
 static guint64
-take_entries(voter_t *v, const voter_message_t *m)
+append_entries(voter_t *v, const voter_message_t *m)
 {
     gboolean changed = FALSE;
     guint64 last = m->index;
@@ -195,7 +196,7 @@
         }
         if (entry->index <= replica_log_last_index(&v->log)) {
             replica_log_truncate(&v->log, entry->index);
-            v->durable = MIN(v->durable, entry->index - 1);
+            v->durable_index = MIN(v->durable_index, entry->index - 1);
         }
         replica_log_append(&v->log, entry);
         if (v->append_from == 0 || entry->index < v->append_from) {
@@ -212,22 +213,24 @@
 void
 voter_handle_append(voter_t *v, const voter_message_t *m)
 {
-    voter_message_t *reply = voter_message_to(v, VOTER_APPEND_REPLY, m->from);
-    reply->round = m->round;
+    voter_message_t *reply =
+        voter_enqueue_message(v, VOTER_APPEND_REPLY, m->from);
+    reply->send_time_us = m->send_time_us;
     if (m->term < v->hard.term) {
         return;
     }
-    voter_follow(v, m->term, m->from);
+    voter_become_follower(v, m->term, m->from);
     reply->term = v->hard.term;
-    v->heard_us = v->now_us;
-    gboolean fits = m->index < v->log.base_index ||
-                    (m->index <= replica_log_last_index(&v->log) &&
-                     replica_log_term(&v->log, m->index) == m->log_term);
-    if (!fits) {
+    v->leader_contact_us = v->now_us;
+    gboolean log_matches =
+        m->index < v->log.base_index ||
+        (m->index <= replica_log_last_index(&v->log) &&
+         replica_log_term(&v->log, m->index) == m->log_term);
+    if (!log_matches) {
         /* Where the leader may try next: before the conflicting term. */
         guint64 hint = MIN(m->index - 1, replica_log_last_index(&v->log));
         guint64 term = replica_log_term(&v->log, hint);
-        while (hint > v->log.base_index && hint > v->commit &&
+        while (hint > v->log.base_index && hint > v->commit_index &&
                m->index <= replica_log_last_index(&v->log) &&
                replica_log_term(&v->log, hint) == term) {
             hint--;
@@ -236,19 +239,19 @@
         return;
     }
     reply->granted = TRUE;
-    reply->index = take_entries(v, m);
-    v->commit = MAX(v->commit, MIN(m->commit, reply->index));
+    reply->index = append_entries(v, m);
+    v->commit_index = MAX(v->commit_index, MIN(m->commit_index, reply->index));
 }
 
 void
 voter_handle_append_reply(voter_t *v, const voter_message_t *m)
 {
-    progress_t *p = v->role == ROLE_LEADER ? progress_of(v, m->from) : NULL;
+    progress_t *p = v->role == ROLE_LEADER ? find_progress(v, m->from) : NULL;
     if (p == NULL || m->term != v->hard.term) {
         return;
     }
-    p->heard_us = v->now_us;
-    p->acked_round = MAX(p->acked_round, m->round);
+    p->contact_us = v->now_us;
+    p->acked_send_time_us = MAX(p->acked_send_time_us, m->send_time_us);
     voter_advance_lease(v);
     if (!m->granted) {
         p->next = MAX(MIN(m->index + 1, replica_log_last_index(&v->log) + 1),
@@ -258,14 +261,14 @@
     }
     p->match = MAX(p->match, m->index);
     p->next = MAX(p->next, p->match + 1);
-    p->snapshot_us = 0;
-    guint64 before = v->commit;
+    p->snapshot_sent_us = 0;
+    guint64 previous_commit = v->commit_index;
     voter_advance_commit(v);
     if (v->role != ROLE_LEADER) {
         return;
     }
-    if (v->commit > before) {
-        voter_send_all(v); /* followers learn of the commit at once */
+    if (v->commit_index > previous_commit) {
+        voter_send_append_all(v); /* followers learn of the commit at once */
     }
     else if (p->next <= replica_log_last_index(&v->log)) {
         send_append(v, p);
@@ -275,17 +278,18 @@
 void
 voter_handle_snapshot(voter_t *v, const voter_message_t *m)
 {
-    voter_message_t *reply = voter_message_to(v, VOTER_APPEND_REPLY, m->from);
-    reply->round = m->round;
+    voter_message_t *reply =
+        voter_enqueue_message(v, VOTER_APPEND_REPLY, m->from);
+    reply->send_time_us = m->send_time_us;
     if (m->term < v->hard.term) {
         return;
     }
-    voter_follow(v, m->term, m->from);
+    voter_become_follower(v, m->term, m->from);
     reply->term = v->hard.term;
     reply->granted = TRUE;
-    v->heard_us = v->now_us;
-    reply->index = MAX(v->commit, m->index);
-    if (m->index <= v->commit) {
+    v->leader_contact_us = v->now_us;
+    reply->index = MAX(v->commit_index, m->index);
+    if (m->index <= v->commit_index) {
         return;
     }
     replica_log_truncate(&v->log, v->log.base_index + 1);
@@ -299,8 +303,8 @@
     };
     v->install = TRUE;
     v->append_from = 0;
-    v->commit = m->index;
-    v->applied = m->index;
-    v->durable = m->index;
+    v->commit_index = m->index;
+    v->applied_index = m->index;
+    v->durable_index = m->index;
     voter_config_refresh(v);
 }
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -21,7 +21,7 @@
     member_record_t self = {.id = 1000 * started + at + 1, .started = started};
     membership_settings_t settings = {.period_us = PERIOD_US,
                                       .suspicion_us = 5 * PERIOD_US,
-                                      .forget_us = 100000 * PERIOD_US,
+                                      .dead_expiry_us = 100000 * PERIOD_US,
                                       .seed = at};
     g_snprintf(self.name, sizeof(self.name), "n%u", at);
     g_snprintf(self.address, sizeof(self.address), "%u", at);
--- a/tests/test_parsers.c
+++ b/tests/test_parsers.c
@@ -155,7 +155,7 @@
 {
     member_record_t self = {.id = 1, .name = "a"};
     membership_settings_t settings = {
-        .period_us = 1, .suspicion_us = 1, .forget_us = 1, .seed = 1};
+        .period_us = 1, .suspicion_us = 1, .dead_expiry_us = 1, .seed = 1};
     membership_t *m = membership_create(&self, &settings, 0);
     membership_receive(m, bytes, 1);
     membership_tick(m, 2);
