--- a/policy/voter.c
+++ b/policy/voter.c
@@ -474,7 +474,7 @@
 {
     for (guint i = 0; i < v->progress_count; i++) {
         if (v->role == ROLE_LEADER && v->progress[i].id == member) {
-            return v->progress[i].match;
+            return v->progress[i].match_index;
         }
     }
     return 0;
--- a/policy/voter_replicate.c
+++ b/policy/voter_replicate.c
@@ -26,11 +26,12 @@
     for (guint i = 0; i < v->config.count; i++) {
         guint64 id = v->config.members[i].id;
         progress_t *known = find_progress(v, id);
-        fresh[i] =
-            known ? *known
-                  : (progress_t){.id = id,
-                                 .next = replica_log_last_index(&v->log) + 1,
-                                 .contact_us = v->now_us};
+        fresh[i] = known
+                       ? *known
+                       : (progress_t){.id = id,
+                                      .next_index =
+                                          replica_log_last_index(&v->log) + 1,
+                                      .contact_us = v->now_us};
     }
     memcpy(v->progress, fresh, sizeof(progress_t) * v->config.count);
     v->progress_count = v->config.count;
@@ -58,7 +59,7 @@
 static void
 send_append(voter_t *v, progress_t *p)
 {
-    guint64 previous = p->next - 1;
+    guint64 previous = p->next_index - 1;
     if (previous < v->log.base_index) {
         send_snapshot(v, p);
         return;
@@ -72,13 +73,13 @@
     gsize bytes = 0;
     while (m->entries->len < VOTER_MESSAGE_ENTRIES_MAX &&
            bytes < VOTER_MESSAGE_BYTES_MAX) {
-        const log_entry_t *entry = replica_log_get(&v->log, p->next);
+        const log_entry_t *entry = replica_log_get(&v->log, p->next_index);
         if (entry == NULL) {
             break;
         }
         g_ptr_array_add(m->entries, log_entry_copy(entry));
         bytes += g_bytes_get_size(entry->data);
-        p->next++;
+        p->next_index++;
     }
 }
 
@@ -122,7 +123,7 @@
 static guint64
 durable_match(voter_t *v, progress_t *p)
 {
-    return p->id == v->settings.id ? v->durable_index : p->match;
+    return p->id == v->settings.id ? v->durable_index : p->match_index;
 }
 
 static guint64
@@ -254,13 +255,14 @@
     p->acked_send_time_us = MAX(p->acked_send_time_us, m->send_time_us);
     voter_advance_lease(v);
     if (!m->granted) {
-        p->next = MAX(MIN(m->index + 1, replica_log_last_index(&v->log) + 1),
-                      p->match + 1);
+        p->next_index =
+            MAX(MIN(m->index + 1, replica_log_last_index(&v->log) + 1),
+                p->match_index + 1);
         send_append(v, p);
         return;
     }
-    p->match = MAX(p->match, m->index);
-    p->next = MAX(p->next, p->match + 1);
+    p->match_index = MAX(p->match_index, m->index);
+    p->next_index = MAX(p->next_index, p->match_index + 1);
     p->snapshot_sent_us = 0;
     guint64 previous_commit = v->commit_index;
     voter_advance_commit(v);
@@ -270,7 +272,7 @@
     if (v->commit_index > previous_commit) {
         voter_send_append_all(v); /* followers learn of the commit at once */
     }
-    else if (p->next <= replica_log_last_index(&v->log)) {
+    else if (p->next_index <= replica_log_last_index(&v->log)) {
         send_append(v, p);
     }
 }
--- a/policy/voter_state.h
+++ b/policy/voter_state.h
@@ -12,8 +12,8 @@
 /* What the leader knows of one member. */
 typedef struct {
     guint64 id;
-    guint64 next;
-    guint64 match;
+    guint64 next_index;
+    guint64 match_index;
     guint64 acked_send_time_us; /* the latest of our rounds it echoed */
     gint64 contact_us;
     gint64 snapshot_sent_us; /* when a snapshot was last sent */
