--- a/policy/voter.c
+++ b/policy/voter.c
@@ -135,14 +135,14 @@
 {
     v->now_us = MAX(v->now_us, now_us);
     if (m->to != v->settings.id) {
-        return; /* for an identity this voter no longer has */
+        return; /* for a previous identity of this voter */
     }
     gboolean is_vote_request =
         m->kind == VOTER_PREVOTE || m->kind == VOTER_VOTE;
     if (m->kind == VOTER_VOTE &&
         (voter_has_recent_leader(v) ||
          (v->role == ROLE_LEADER && v->now_us < v->lease_end_us))) {
-        return; /* the lease still holds: the vote waits */
+        return; /* a lease may still be valid; the candidate retries */
     }
     gboolean granted_prevote = m->kind == VOTER_PREVOTE_REPLY && m->granted;
     if (m->term > v->hard.term && !is_vote_request && !granted_prevote) {
@@ -186,6 +186,7 @@
         return;
     }
     voter_advance_lease(v);
+    /* A leader without a quorum for two election timeouts steps down. */
     if (v->now_us - v->quorum_contact_us >
         2 * v->settings.election_timeout_us) {
         voter_become_follower(v, v->hard.term, 0);
@@ -207,11 +208,11 @@
     }
     voter_append_as_leader(v, ENTRY_COMMAND, data);
     *index = replica_log_last_index(&v->log);
-    v->next_heartbeat_us = v->now_us; /* sent with the next ready, batched */
+    v->next_heartbeat_us = v->now_us; /* voter_ready sends it, batched */
     return VOTER_OK;
 }
 
-/* How many members differ between two memberships. */
+/* Counts members that were added, removed, or changed their learner role. */
 static guint
 count_member_changes(const voter_config_t *a, const voter_config_t *b)
 {
@@ -233,7 +234,8 @@
     if (v->role != ROLE_LEADER) {
         return VOTER_ERROR_NOT_LEADER;
     }
-    /* A new leader must commit in its own term first (Ongaro, 2015). */
+    /* A new leader must commit an entry of its own term before it changes the
+     * membership (Ongaro, 2015). */
     if (voter_config_pending(v) || v->commit_index < v->term_start_index) {
         return VOTER_ERROR_CONFIG_PENDING;
     }
@@ -256,18 +258,18 @@
     if (v->role != ROLE_LEADER) {
         return;
     }
-    /* It does not stand again before the others had their chance. */
+    /* Delays this member's own candidacy, so that another one is elected. */
     voter_become_follower(v, v->hard.term, 0);
     v->election_deadline_us = v->now_us + 4 * v->settings.election_timeout_us;
 }
 
-/* ---- what the driver does ---- */
+/* ---- work for the caller ---- */
 
 static void
 collect_committed(voter_t *v, voter_ready_t *ready)
 {
-    /* The driver makes the same ready's entries durable before it applies,
-     * so a snapshot never holds more than the disk. */
+    /* The caller makes the entries of a ready durable before it applies them,
+     * so a snapshot never covers entries that are not durable. */
     guint64 until = MIN(v->commit_index, replica_log_last_index(&v->log));
     for (guint64 i = v->applied_index + 1; i <= until; i++) {
         g_ptr_array_add(ready->committed,
@@ -360,7 +362,7 @@
     return snapshot;
 }
 
-/* ---- life ---- */
+/* ---- creation and accessors ---- */
 
 voter_t *
 voter_create(const voter_settings_t *settings, const voter_hard_state_t *hard,
@@ -386,13 +388,15 @@
     v->votes = g_hash_table_new(NULL, NULL);
     v->outbox = g_ptr_array_new_with_free_func(message_free);
     v->now_us = now_us;
-    /* It may have promised a leader its lease just before it went down. */
+    /* This voter may have acknowledged a leader just before it restarted, so
+     * it grants no vote until that leader's lease has ended. */
     v->leader_contact_us = now_us;
     voter_config_refresh(v);
     voter_reset_election_timer(v);
     if (v->config.count == 1 && voter_is_voting_member(v, settings->id)) {
         v->leader_contact_us = now_us - settings->election_timeout_us;
-        v->election_deadline_us = now_us; /* alone: nobody to wait for */
+        /* The only member starts its election at once. */
+        v->election_deadline_us = now_us;
     }
     return v;
 }
--- a/policy/voter_election.c
+++ b/policy/voter_election.c
@@ -85,8 +85,9 @@
     }
 }
 
-/* ---- votes asked for ---- */
+/* ---- requests and replies of others ---- */
 
+/* Whether the candidate's log is at least as up to date as this one. */
 static gboolean
 log_up_to_date(const voter_t *v, const voter_message_t *m)
 {
--- a/policy/voter_replicate.c
+++ b/policy/voter_replicate.c
@@ -4,9 +4,11 @@
 
 #include "carobloom/policy/voter_codec.h"
 
-static const double LEASE_FRACTION = 0.9; /* the rest covers clock drift */
+/* Lease length as a fraction of the minimum election timeout; the rest covers
+ * clock drift. */
+static const double LEASE_FRACTION = 0.9;
 
-/* ---- members, as the leader knows them ---- */
+/* ---- progress of members, on the leader ---- */
 
 static progress_t *
 find_progress(voter_t *v, guint64 id)
@@ -37,7 +39,7 @@
     v->progress_count = v->config.count;
 }
 
-/* ---- replication, as leader ---- */
+/* ---- replication, on the leader ---- */
 
 static void
 send_snapshot(voter_t *v, progress_t *p)
@@ -102,7 +104,7 @@
     return x > y ? -1 : x < y;
 }
 
-/* The value that a quorum of voting members has reached. */
+/* The highest value that a quorum of voting members has reached. */
 static guint64
 quorum_value(voter_t *v, guint64 (*value)(voter_t *, progress_t *))
 {
@@ -137,7 +139,8 @@
 voter_advance_commit(voter_t *v)
 {
     guint64 index = quorum_value(v, durable_match);
-    /* Only entries of the own term are committed by counting. */
+    /* Only entries of the leader's own term are committed by counting
+     * replicas; earlier ones are committed with them. */
     if (index > v->commit_index &&
         replica_log_term(&v->log, index) == v->hard.term) {
         v->commit_index = index;
@@ -180,9 +183,10 @@
     }
 }
 
-/* ---- as follower ---- */
+/* ---- appends, their replies, and snapshots received ---- */
 
-/* Takes the entries that are new; a conflict cuts the own tail. */
+/* Appends the entries that are new. A conflicting entry truncates the log
+ * first. Returns the last index that now matches the leader's log. */
 static guint64
 append_entries(voter_t *v, const voter_message_t *m)
 {
@@ -228,7 +232,7 @@
         (m->index <= replica_log_last_index(&v->log) &&
          replica_log_term(&v->log, m->index) == m->log_term);
     if (!log_matches) {
-        /* Where the leader may try next: before the conflicting term. */
+        /* Hint for the leader's retry: skips the conflicting term. */
         guint64 hint = MIN(m->index - 1, replica_log_last_index(&v->log));
         guint64 term = replica_log_term(&v->log, hint);
         while (hint > v->log.base_index && hint > v->commit_index &&
@@ -270,7 +274,8 @@
         return;
     }
     if (v->commit_index > previous_commit) {
-        voter_send_append_all(v); /* followers learn of the commit at once */
+        /* Notifies the followers of the commit at once. */
+        voter_send_append_all(v);
     }
     else if (p->next_index <= replica_log_last_index(&v->log)) {
         send_append(v, p);
