--- a/include/carobloom/policy/voter_repair.h
+++ b/include/carobloom/policy/voter_repair.h
@@ -1,30 +1,32 @@
-/* How a voter that lost its disk comes back, and how one is replaced.
+/* Rejoin of a voter that lost its disk, and replacement of a dead voter.
  *
- * It asks under a new identity. The leader adds that as a learner; once it
- * has the log the old identity goes, and then the new one votes: one logged
- * membership change at a time. */
+ * A voter without its disk rejoins under a new identity. The leader adds this
+ * identity as a learner; once the learner has the log, the leader removes the
+ * old identity and then makes the learner a voter. Each step is one committed
+ * membership change. */
 #ifndef CAROBLOOM_POLICY_VOTER_REPAIR_H
 #define CAROBLOOM_POLICY_VOTER_REPAIR_H
 
 #include "carobloom/policy/voter.h"
 
 typedef enum {
-    REPAIR_DONE,     /* it votes, and that is committed */
-    REPAIR_PENDING,  /* for a commit or for the log to catch up */
+    REPAIR_DONE,     /* the member votes, and this is committed */
+    REPAIR_PENDING,  /* waits for a commit or for the learner's log */
     REPAIR_PROPOSED, /* a membership change was appended */
 } repair_state_t;
 
-/* The next step, on the leader, for the member `id` named `name`. */
+/* Takes the next step, on the leader, for the member `id` named `name`. */
 repair_state_t voter_repair_step(voter_t *voter, const char *name, guint64 id,
                                  gint64 now_us);
-/* On the leader: takes out a voter that is gone for good, which only makes
- * quorums larger. `silent_us` tells for how long each member of voter_config
- * was not heard of. Only when the membership is even, as after a newcomer came
- * in its place, and all others are there; one taken out by mistake asks to be
- * taken in again. The identity taken out, or 0. */
+/* Removes a dead member, on the leader, because it still counts towards the
+ * quorum. `silent_us` holds the time since the last contact with each member
+ * of voter_config. A member is removed only if the membership is even, as
+ * after its replacement joined, and all others are in contact. A member that
+ * was removed by mistake rejoins by itself. Returns the id of the removed
+ * member, or 0. */
 guint64 voter_repair_remove_dead(voter_t *voter, const gint64 *silent_us,
                                  gint64 now_us);
-/* Takes a member out; FALSE when it is not there. */
+/* Removes a member; returns FALSE when there is none with this id. */
 gboolean voter_config_remove(voter_config_t *config, guint64 id);
 
 #endif
--- a/policy/voter_codec.c
+++ b/policy/voter_codec.c
@@ -111,7 +111,7 @@
                                .kind = (entry_kind_t)kind,
                                .data = bytes_of(data)};
         g_ptr_array_add(entries, entry);
-        /* Entries follow the previous one without a gap. */
+        /* Entry indices must follow the previous one without a gap. */
         ok = kind < ENTRY_KIND_COUNT && entry->index == ++previous;
     }
     if (!ok) {
--- a/policy/voter_repair.c
+++ b/policy/voter_repair.c
@@ -3,11 +3,13 @@
 #include <string.h>
 
 enum {
-    /* In election timeouts (0.8 s in the gateway): a voter not heard of for so
-     * long gives its place to the newcomer. Sooner than the 4 s after which
-     * the platform takes a newcomer for caught up and the next machine may
-     * lose its disk: until then three voters of four must stay. */
+    /* A member without contact for this many election timeouts (0.8 s each in
+     * the gateway) counts as dead. It must be removed within the 4 s after
+     * which the platform assumes that a new member has caught up and the next
+     * machine may lose its disk: until the removal the quorum is three of
+     * four, so no other member may fail. */
     DEAD_ELECTION_TIMEOUTS = 4,
+    /* All other members must have made contact within this time. */
     RECENT_ELECTION_TIMEOUTS = 2,
     VOTERS_MIN = 3,
 };
@@ -24,7 +26,7 @@
     return FALSE;
 }
 
-/* The other identity under the same name, or 0. */
+/* Returns the id of another member with the same name, or 0. */
 static guint64
 find_previous_id(const voter_config_t *config, const char *name, guint64 id)
 {
