--- a/include/carobloom/policy/membership.h
+++ b/include/carobloom/policy/membership.h
@@ -1,9 +1,12 @@
-/* Who is alive: gossip with suspicion and incarnations.
+/* Failure detection and membership by gossip, with suspicion and incarnation
+ * numbers.
  *
- * After Das, Gupta and Motivala, "SWIM" (2002): each period one member is
- * pinged; when it does not answer, others are asked to; then it is suspected,
- * which it may refute, and after a while taken for dead. Changes travel on
- * the pings. Pure: messages and time in, messages out. */
+ * Source: Das, Gupta and Motivala, "SWIM" (2002). Each period one member is
+ * pinged. If it doesn't acknowledge, other members ping it indirectly; after
+ * that it is suspected, which it may refute, and declared dead when the
+ * suspicion times out. Membership changes are piggybacked on pings and acks.
+ * The module does no I/O and reads no clock: messages and the time go in,
+ * messages come out. */
 #ifndef CAROBLOOM_POLICY_MEMBERSHIP_H
 #define CAROBLOOM_POLICY_MEMBERSHIP_H
 
@@ -18,12 +21,13 @@
     MEMBER_LEFT,
 } member_state_t;
 
-/* What travels about a member. Two of one name: the later start counts. */
+/* The record of a member that is gossiped. Of two members with the same name,
+ * the one with the later `started` replaces the other. */
 typedef struct {
     guint64 id;
-    guint32 incarnation_number; /* raised by the member itself to refute */
+    guint32 incarnation_number; /* SWIM's; only the member itself raises it */
     member_state_t state;
-    guint64 started; /* wall clock, ms */
+    guint64 started; /* start of the process, wall clock, ms */
     char name[MEMBER_TEXT_MAX + 1];
     char region[MEMBER_TEXT_MAX + 1];
     char data_centre[MEMBER_TEXT_MAX + 1];
@@ -32,18 +36,19 @@
     gboolean draining;
 } member_record_t;
 
+/* Times of the protocol, and the seed of the order of pings. */
 typedef struct {
     gint64 period_us;
     gint64 suspicion_us;
-    gint64 dead_expiry_us; /* a dead member is remembered for so long */
+    gint64 dead_expiry_us; /* how long dead and departed members are kept */
     guint64 seed;
 } membership_settings_t;
 
-/* One message to send. `reconnect` asks for a new connection first: the one
- * that is open may have gone silent. */
+/* One message to send. With `reconnect`, the caller opens a new connection
+ * first, because the current one may be broken without an error. */
 typedef struct {
     char address[MEMBER_TEXT_MAX + 1];
-    guint64 to; /* 0 when not known */
+    guint64 to; /* member id, 0 when not known */
     gboolean reconnect;
     GBytes *bytes;
 } membership_message_t;
@@ -54,28 +59,33 @@
                                 const membership_settings_t *settings,
                                 gint64 now_us);
 void membership_destroy(membership_t *membership);
-/* An address to join by. */
+/* Adds an address through which to join. */
 void membership_add_seed(membership_t *membership, const char *address);
+/* Runs the timers; call it several times a period. */
 void membership_tick(membership_t *membership, gint64 now_us);
-/* FALSE when malformed. */
+/* Handles a received message; returns FALSE when it is malformed or from this
+ * member. */
 gboolean membership_receive(membership_t *membership, GBytes *bytes,
                             gint64 now_us);
-/* Says goodbye, or that this instance drains. */
+/* Announces that this instance leaves the membership. */
 void membership_leave(membership_t *membership, gint64 now_us);
+/* Announces that this instance drains. */
 void membership_set_draining(membership_t *membership, gint64 now_us);
-/* The version of the document in force here, told on each ping. */
+/* Sets the version of the document in force here, sent with each message. */
 void membership_set_version(membership_t *membership, guint64 version);
-/* The highest version heard of, and from whom. */
+/* The highest document version known, and the member that has it. */
 guint64 membership_newest_version(const membership_t *membership,
                                   guint64 *member);
 
-/* Takes what is to be sent: a GPtrArray of membership_message_t, freed by its
- * own free function. */
+/* Takes the messages to send: a GPtrArray of membership_message_t that frees
+ * its elements. */
 GPtrArray *membership_take_messages(membership_t *membership);
-/* Whether who is alive changed since the last call. */
+/* Whether a member joined or changed since the last call. */
 gboolean membership_take_changed(membership_t *membership);
-/* All known, self included: a GArray of member_record_t; the caller unrefs. */
+/* All known members, this one included, sorted by name: a GArray of
+ * member_record_t that the caller unrefs. */
 GArray *membership_list(const membership_t *membership);
+/* The record of a member, or NULL. */
 const member_record_t *membership_find(const membership_t *membership,
                                        guint64 id);
 
--- a/policy/membership.c
+++ b/policy/membership.c
@@ -10,15 +10,15 @@
     PIGGYBACKED_RECORDS_MAX = 8,
     RELAYED_PINGS_MAX = 4096,
     SEEDS_PER_PERIOD_MAX = 3,
-    INDIRECT_PINGS = 2,      /* asked to ping in our place */
-    TRANSMISSION_FACTOR = 3, /* tellings of a change: factor * log2(n + 1) */
+    INDIRECT_PINGS = 2,      /* members asked to ping a silent target */
+    TRANSMISSION_FACTOR = 3, /* a change is sent factor * log2(n + 1) times */
 };
 
 typedef enum {
     GOSSIP_PING,
     GOSSIP_ACK,
     GOSSIP_PING_REQUEST, /* ping `target` for the sender */
-    GOSSIP_JOIN,         /* asks for all records */
+    GOSSIP_JOIN,         /* requests all records */
     GOSSIP_SYNC,         /* all records */
     GOSSIP_KIND_COUNT,
 } gossip_kind_t;
@@ -26,14 +26,14 @@
 typedef struct {
     member_record_t record;
     gint64 changed_us;
-    guint transmissions_left; /* left */
+    guint transmissions_left;
 } member_t;
 
-/* A ping on its way. */
+/* A ping that is not acknowledged yet. */
 typedef struct {
     guint64 target;
     gint64 sent_us;
-    gboolean indirect; /* others were asked */
+    gboolean indirect; /* indirect pings were requested */
 } pending_ping_t;
 
 struct membership {
@@ -41,7 +41,7 @@
     GRand *rand;
     member_t *self;
     GHashTable *members;   /* id -> member_t, self included */
-    GPtrArray *ping_order; /* member ids in the order of pinging */
+    GPtrArray *ping_order; /* member ids, shuffled each round */
     guint next_ping;
     GPtrArray *seeds;
     guint next_seed;
@@ -50,7 +50,7 @@
     gint64 next_period_us;
     guint32 sequence;
     pending_ping_t pending_ping; /* target 0: none */
-    GHashTable *relayed_pings;   /* sequence -> id to pass the ack on to */
+    GHashTable *relayed_pings;   /* sequence -> id of the requester */
     gboolean changed;
     guint64 version;
     guint64 newest_version;
@@ -111,7 +111,7 @@
     g_ptr_array_add(m->seeds, g_strdup(address));
 }
 
-/* ---- writing ---- */
+/* ---- serializing and sending ---- */
 
 static GVariant *
 record_variant(const member_record_t *r)
@@ -121,6 +121,7 @@
                          r->data_centre, r->address, r->control, r->draining);
 }
 
+/* How often one change is sent, so that it likely reaches every member. */
 static guint
 transmission_limit(const membership_t *m)
 {
@@ -129,7 +130,7 @@
     return TRANSMISSION_FACTOR * log2;
 }
 
-/* Adds changes still to be told, up to the bound. */
+/* Adds records of members with transmissions left, up to `max_records`. */
 static void
 add_pending_changes(membership_t *m, GVariantBuilder *records,
                     guint max_records)
@@ -160,6 +161,8 @@
     }
 }
 
+/* Adds a message to the outbox. Pings and acks carry `subject`, if it is not
+ * NULL, and pending changes. */
 static membership_message_t *
 enqueue_message_about(membership_t *m, const char *address, guint64 to,
                       gossip_kind_t kind, guint32 sequence, guint64 target,
@@ -204,6 +207,7 @@
 
 /* ---- changes ---- */
 
+/* Schedules the member's record for gossip. */
 static void
 queue_change(membership_t *m, member_t *member)
 {
@@ -221,7 +225,8 @@
     }
 }
 
-/* Raises the own rumor above one that is wrong about us. */
+/* Refutes a claim about this member: raises its incarnation number above the
+ * claim's. */
 static void
 refute(membership_t *m, const member_record_t *claim)
 {
@@ -236,7 +241,7 @@
     }
 }
 
-/* Another start of the same instance makes this one dead. */
+/* Declares earlier processes of the same instance dead. */
 static void
 mark_superseded(membership_t *m, const member_record_t *newer)
 {
@@ -253,11 +258,13 @@
     }
 }
 
+/* Whether a received record replaces the known one. */
 static gboolean
 record_overrides(const member_record_t *known, const member_record_t *r)
 {
     if (known->state == MEMBER_LEFT || known->state == MEMBER_DEAD) {
-        /* Only the member itself, with a higher rumor, comes back. */
+        /* Only a higher incarnation number, which only the member itself can
+         * raise, revives a dead member. */
         return r->state == MEMBER_ALIVE &&
                r->incarnation_number > known->incarnation_number &&
                known->state == MEMBER_DEAD;
@@ -271,8 +278,9 @@
     return r->state > known->state;
 }
 
-/* Others take a member for alive that is dead here, and nothing newer is
- * known: it is told so itself, which makes it refute. */
+/* Another member reported `member` as alive, which is dead here with the same
+ * incarnation number. Sends `member` its own dead record, so that it refutes
+ * the record if it is alive. */
 static void
 notify_declared_dead(membership_t *m, const member_t *member)
 {
@@ -335,7 +343,7 @@
     m->next_ping = 0;
 }
 
-/* The next member to ping, each once a round; NULL when alone. */
+/* The next member to ping, each once per round; NULL when there is none. */
 static member_t *
 next_target(membership_t *m)
 {
@@ -352,9 +360,9 @@
     return NULL;
 }
 
-/* `again` is for one that did not answer: the connection may have gone
- * silent, or the target does not know this member and so can not answer: it
- * is told who asks. */
+/* `retry` is for a target that did not acknowledge. The connection may be
+ * broken, so a new one is opened. Or the target doesn't know this member and
+ * can't reply, so this member's record is included. */
 static void
 ping(membership_t *m, const member_t *target, gboolean retry)
 {
@@ -364,7 +372,8 @@
     message->reconnect = retry;
 }
 
-/* No answer so far: a new connection, and others are asked too. */
+/* Pings the target again over a new connection, and asks other members to ping
+ * it too. */
 static void
 request_indirect_pings(membership_t *m, member_t *target)
 {
@@ -380,6 +389,7 @@
     }
 }
 
+/* Suspects the target of the last ping if it is not acknowledged. */
 static void
 suspect_unanswered(membership_t *m)
 {
@@ -405,6 +415,8 @@
     }
 }
 
+/* Declares members dead whose suspicion timed out, and drops members that were
+ * dead or gone for long. */
 static void
 expire_members(membership_t *m)
 {
@@ -440,9 +452,9 @@
     return FALSE;
 }
 
-/* Each seed that is not among the living is asked, a few a period: at the
- * start all of them, so that no two groups form; later it is what joins two
- * halves that lost each other for long enough to forget. */
+/* Sends a join to seeds that are not alive here, a few per period. Contacting
+ * all seeds after the start keeps separate groups from forming; later this
+ * rejoins two halves of a partition that outlasted the expiry of the dead. */
 static void
 join_seeds(membership_t *m)
 {
