--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -1,55 +1,56 @@
-/* Who is alive, over a network that the test holds in its hands. */
+/* Gossip membership over a simulated network. */
 #include <string.h>
 
 #include "carobloom/policy/membership.h"
 #include "check.h"
 
-enum { NODES = 12, PERIOD_US = 1000, RUN = 400 };
+enum { NODES = 12, PERIOD_US = 1000, RUN_TICKS = 400 };
 
 typedef struct {
     membership_t *node[NODES];
     gboolean cut[NODES][NODES];
     guint count;
-    gint64 now;
+    gint64 now_us;
     guint64 bytes;
-} net_t;
+} network_t;
 
 static void
-net_add(net_t *net, guint64 started)
+net_add(network_t *net, guint64 started)
 {
-    guint at = net->count++;
-    member_record_t self = {.id = 1000 * started + at + 1, .started = started};
+    guint index = net->count++;
+    member_record_t self = {.id = 1000 * started + index + 1,
+                            .started = started};
     membership_settings_t settings = {.period_us = PERIOD_US,
                                       .suspicion_us = 5 * PERIOD_US,
                                       .dead_expiry_us = 100000 * PERIOD_US,
-                                      .seed = at};
-    g_snprintf(self.name, sizeof(self.name), "n%u", at);
-    g_snprintf(self.address, sizeof(self.address), "%u", at);
-    net->node[at] = membership_create(&self, &settings, net->now);
+                                      .seed = index};
+    g_snprintf(self.name, sizeof(self.name), "n%u", index);
+    g_snprintf(self.address, sizeof(self.address), "%u", index);
+    net->node[index] = membership_create(&self, &settings, net->now_us);
 }
 
 static void
-deliver(net_t *net, guint from)
+deliver(network_t *net, guint from)
 {
-    GPtrArray *sends = membership_take_messages(net->node[from]);
-    for (guint i = 0; i < sends->len; i++) {
-        const membership_message_t *s = sends->pdata[i];
-        guint to = (guint)atoi(s->address);
-        net->bytes += g_bytes_get_size(s->bytes);
+    GPtrArray *messages = membership_take_messages(net->node[from]);
+    for (guint i = 0; i < messages->len; i++) {
+        const membership_message_t *message = messages->pdata[i];
+        guint to = (guint)atoi(message->address);
+        net->bytes += g_bytes_get_size(message->bytes);
         if (to < net->count && !net->cut[from][to]) {
-            membership_receive(net->node[to], s->bytes, net->now);
+            membership_receive(net->node[to], message->bytes, net->now_us);
         }
     }
-    g_ptr_array_unref(sends);
+    g_ptr_array_unref(messages);
 }
 
 static void
-net_run(net_t *net, int ticks)
+net_run(network_t *net, int ticks)
 {
     for (int t = 0; t < ticks; t++) {
-        net->now += PERIOD_US / 4;
+        net->now_us += PERIOD_US / 4;
         for (guint i = 0; i < net->count; i++) {
-            membership_tick(net->node[i], net->now);
+            membership_tick(net->node[i], net->now_us);
         }
         for (int round = 0; round < 3; round++) {
             for (guint i = 0; i < net->count; i++) {
@@ -60,9 +61,9 @@
 }
 
 static guint
-alive_seen(net_t *net, guint at)
+count_alive(network_t *net, guint index)
 {
-    GArray *list = membership_list(net->node[at]);
+    GArray *list = membership_list(net->node[index]);
     guint alive = 0;
     for (guint i = 0; i < list->len; i++) {
         alive += g_array_index(list, member_record_t, i).state == MEMBER_ALIVE;
@@ -72,87 +73,88 @@
 }
 
 static void
-net_clear(net_t *net)
+net_clear(network_t *net)
 {
     for (guint i = 0; i < net->count; i++) {
         membership_destroy(net->node[i]);
     }
 }
 
-static net_t
-net_joined(guint count)
+static network_t
+net_create_joined(guint count)
 {
-    net_t net = {.now = 1};
+    network_t net = {.now_us = 1};
     for (guint i = 0; i < count; i++) {
         net_add(&net, 1);
         membership_add_seed(net.node[i], "0");
         membership_add_seed(net.node[i], "1");
     }
-    net_run(&net, RUN);
+    net_run(&net, RUN_TICKS);
     return net;
 }
 
 static void
-cut_node(net_t *net, guint at, gboolean cut)
+set_node_cut(network_t *net, guint index, gboolean cut)
 {
     for (guint i = 0; i < net->count; i++) {
-        net->cut[at][i] = cut;
-        net->cut[i][at] = cut;
+        net->cut[index][i] = cut;
+        net->cut[i][index] = cut;
     }
 }
 
 static void
-test_all_meet(void)
+test_all_members_join(void)
 {
-    net_t net = net_joined(NODES);
+    network_t net = net_create_joined(NODES);
     for (guint i = 0; i < NODES; i++) {
-        CU_ASSERT_EQUAL(alive_seen(&net, i), NODES);
+        CU_ASSERT_EQUAL(count_alive(&net, i), NODES);
     }
     net_clear(&net);
 }
 
 static void
-test_dead_is_found_and_comes_back(void)
+test_dead_member_detected_and_rejoins(void)
 {
-    net_t net = net_joined(NODES);
-    cut_node(&net, 5, TRUE);
-    net_run(&net, RUN);
+    network_t net = net_create_joined(NODES);
+    set_node_cut(&net, 5, TRUE);
+    net_run(&net, RUN_TICKS);
     for (guint i = 0; i < NODES; i++) {
-        CU_ASSERT_EQUAL(alive_seen(&net, i), i == 5 ? 1 : NODES - 1);
+        CU_ASSERT_EQUAL(count_alive(&net, i), i == 5 ? 1 : NODES - 1);
     }
-    cut_node(&net, 5, FALSE);
-    net_run(&net, 2 * RUN);
+    set_node_cut(&net, 5, FALSE);
+    net_run(&net, 2 * RUN_TICKS);
     for (guint i = 0; i < NODES; i++) {
-        CU_ASSERT_EQUAL(alive_seen(&net, i), NODES);
+        CU_ASSERT_EQUAL(count_alive(&net, i), NODES);
     }
     net_clear(&net);
 }
 
-/* One link down: the helpers' pings keep both alive. */
+/* With one link down, indirect pings keep both members alive. */
 static void
 test_one_link_down(void)
 {
-    net_t net = net_joined(NODES);
+    network_t net = net_create_joined(NODES);
     net.cut[3][7] = net.cut[7][3] = TRUE;
-    net_run(&net, 2 * RUN);
-    CU_ASSERT(alive_seen(&net, 0) == NODES);
+    net_run(&net, 2 * RUN_TICKS);
+    CU_ASSERT(count_alive(&net, 0) == NODES);
     net_clear(&net);
 }
 
-/* A member that another does not know can not be answered by it. It happened
- * when seeds were restarted in turn and handed on lists with a gap: the one
- * left out heard of no change for two minutes. */
+/* A ping from a member that the target does not know gets no ack, so the retry
+ * must carry the sender's record. Otherwise, when seeds are restarted in turn
+ * and send incomplete member lists, the member left out receives no changes
+ * for two minutes. */
 static void
-test_unknown_introduces_itself(void)
+test_unknown_member_sends_its_record(void)
 {
-    net_t net = {.now = 1};
+    network_t net = {.now_us = 1};
     for (guint i = 0; i < 3; i++) {
         net_add(&net, 1);
     }
-    /* 2 tells 0 of 1, while 1 is never told of 0. */
+    /* Node 2 sends node 1's record to node 0, but not 0's record to node 1. */
     membership_add_seed(net.node[1], "2");
     net.cut[0][1] = net.cut[1][0] = TRUE;
-    net_run(&net, RUN);
+    net_run(&net, RUN_TICKS);
     net.cut[2][1] = TRUE;
     membership_add_seed(net.node[0], "2");
     net_run(&net, 8);
@@ -166,10 +168,12 @@
 }
 
 static const test_case_t cases[] = {
-    {"all meet", test_all_meet},
-    {"the dead are found and come back", test_dead_is_found_and_comes_back},
+    {"all meet", test_all_members_join},
+    {"the dead are found and come back",
+     test_dead_member_detected_and_rejoins},
     {"one link down", test_one_link_down},
-    {"an unknown member introduces itself", test_unknown_introduces_itself},
+    {"an unknown member introduces itself",
+     test_unknown_member_sends_its_record},
 };
 
 CHECK_MAIN("membership", cases)
