--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -62,8 +62,8 @@
     capacity_bounds_t bounds;
     gint64 boot_us;
     guint slots;
-    capacity_place_t *places; /* sorted by the plan */
-    GHashTable *states;       /* place -> place_state_t */
+    capacity_data_centre_t *places; /* sorted by the plan */
+    GHashTable *states;             /* place -> place_state_t */
     guint count;
     gint64 grew_us;   /* the last order for more */
     gint64 lacked_us; /* a place had none to give last: what is given back then
@@ -109,13 +109,13 @@
 places_fill(service_plan_t *s, const engine_offer_t *offer)
 {
     s->count = offer->places->len;
-    s->places = g_new0(capacity_place_t, s->count);
+    s->places = g_new0(capacity_data_centre_t, s->count);
     s->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     for (guint i = 0; i < s->count; i++) {
         const engine_place_t *place =
             &g_array_index(offer->places, engine_place_t, i);
-        s->places[i] = (capacity_place_t){.name = g_strdup(place->data_centre),
-                                          .price = place->price};
+        s->places[i] = (capacity_data_centre_t){
+            .name = g_strdup(place->data_centre), .price = place->price};
         g_hash_table_insert(s->states, g_strdup(place->data_centre),
                             g_new0(place_state_t, 1));
     }
@@ -126,19 +126,19 @@
             const gateway_settings_t *settings)
 {
     s->bounds = (capacity_bounds_t){
-        .least = offer->least,
-        .most = offer->most,
-        .floor = (guint)settings->capacity_floor,
-        .ceiling = (guint)settings->capacity_ceiling,
+        .min_per_data_centre = offer->least,
+        .max_per_data_centre = offer->most,
+        .min_total = (guint)settings->capacity_floor,
+        .max_total = (guint)settings->capacity_ceiling,
         .reclaimable_price = offer->reclaimable_price,
-        .reclaimable_part = settings->capacity_reclaimable,
+        .reclaimable_fraction = settings->capacity_reclaimable,
     };
     s->boot_us = offer->boot_ms * MS;
 }
 
 static void
 service_take(capacity_duty_t *c, const service_t *service,
-             const capacity_way_t *way)
+             const capacity_estimator_t *way)
 {
     const gateway_settings_t *settings = c->duties->control->settings;
     service_plan_t *s = g_hash_table_lookup(c->services, service->name);
@@ -161,7 +161,8 @@
 config_follow(capacity_duty_t *c)
 {
     const control_t *control = c->duties->control;
-    const capacity_way_t *way = capacity_way_find(control->settings->capacity);
+    const capacity_estimator_t *way =
+        capacity_estimator_find(control->settings->capacity);
     if (control_newest_version(control) <= c->version || way == NULL) {
         return;
     }
@@ -187,9 +188,9 @@
     gint64 now = clock_boot_us();
     c->reports++;
     for (guint i = 0; i < report->works->len; i++) {
-        capacity_demand_note(c->demand, report->incarnation,
-                             &g_array_index(report->works, service_work_t, i),
-                             now);
+        capacity_demand_record(
+            c->demand, report->incarnation,
+            &g_array_index(report->works, service_work_t, i), now);
     }
     for (guint i = 0; i < report->supplies->len; i++) {
         const engine_supply_t *supply =
@@ -199,7 +200,7 @@
             s != NULL ? state_of(s, supply->data_centre) : NULL;
         if (state != NULL) {
             guint at = state->next_told++ % SUPPLY_REPORTS;
-            state->told[at][ENGINES_KEPT] = supply->kept;
+            state->told[at][ENGINES_ON_DEMAND] = supply->on_demand;
             state->told[at][ENGINES_RECLAIMABLE] = supply->reclaimable;
         }
     }
@@ -209,7 +210,7 @@
 supply_follow(service_plan_t *s)
 {
     for (guint i = 0; i < s->count; i++) {
-        capacity_place_t *place = &s->places[i];
+        capacity_data_centre_t *place = &s->places[i];
         const place_state_t *state = state_of(s, place->name);
         for (int kind = 0; kind < ENGINES_KINDS; kind++) {
             guint ready = 0;
@@ -248,7 +249,7 @@
     event_log_end();
 }
 
-static capacity_place_t *
+static capacity_data_centre_t *
 place_find(service_plan_t *s, const char *name)
 {
     for (guint i = 0; i < s->count; i++) {
@@ -264,7 +265,7 @@
 {
     order_t *o = user;
     service_plan_t *s = o->service;
-    capacity_place_t *place = place_find(s, o->place);
+    capacity_data_centre_t *place = place_find(s, o->place);
     place_state_t *state = state_of(s, o->place);
     gint64 now = clock_boot_us();
     state->under_way[o->kind] = NULL;
@@ -279,7 +280,7 @@
              * asked for again soon, and others may take its room. */
             place->ordered[o->kind] =
                 MIN(place->ordered[o->kind], place->ready[o->kind]);
-            place->lacking_us = now + LACKING_US;
+            place->unavailable_until_us = now + LACKING_US;
             s->lacked_us = now;
         }
         counter_add(counter_get("engine_orders_refused_total", NULL, FALSE),
@@ -303,7 +304,7 @@
 }
 
 static void
-order_send(service_plan_t *s, const capacity_place_t *place,
+order_send(service_plan_t *s, const capacity_data_centre_t *place,
            supply_kind_t kind, guint count, gint64 now)
 {
     place_state_t *state = state_of(s, place->name);
@@ -320,7 +321,7 @@
 
 /* Whether an order that was taken brought nothing for too long. */
 static gboolean
-is_overdue(const service_plan_t *s, const capacity_place_t *place,
+is_overdue(const service_plan_t *s, const capacity_data_centre_t *place,
            supply_kind_t kind, gint64 now)
 {
     const place_state_t *state = state_of(s, place->name);
@@ -330,14 +331,14 @@
 }
 
 static gboolean
-is_worth_it(const service_plan_t *s, const capacity_place_t *place,
+is_worth_it(const service_plan_t *s, const capacity_data_centre_t *place,
             supply_kind_t kind, guint count, gint64 now)
 {
     guint ordered = place->ordered[kind];
     if (count >= ordered) {
         return count > ordered || is_overdue(s, place, kind, now);
     }
-    if (kind == ENGINES_KEPT) {
+    if (kind == ENGINES_ON_DEMAND) {
         /* Replaced by ones that cost less, or no longer wanted. */
         return now - s->grew_us > CALM_US || place->idle ||
                place->ready[ENGINES_RECLAIMABLE] > 0;
@@ -347,14 +348,15 @@
 }
 
 static void
-order_place(service_plan_t *s, capacity_place_t *place, supply_kind_t kind,
-            gint64 now)
+order_place(service_plan_t *s, capacity_data_centre_t *place,
+            supply_kind_t kind, gint64 now)
 {
     const place_state_t *state = state_of(s, place->name);
-    guint count = capacity_next_order(place, kind, s->bounds.most);
+    guint count =
+        capacity_next_order(place, kind, s->bounds.max_per_data_centre);
     if (state->under_way[kind] != NULL ||
         now - state->asked_us[kind] < ORDER_US ||
-        (kind == ENGINES_RECLAIMABLE && now < place->lacking_us) ||
+        (kind == ENGINES_RECLAIMABLE && now < place->unavailable_until_us) ||
         !is_worth_it(s, place, kind, count, now)) {
         return;
     }
@@ -376,7 +378,7 @@
     gint64 interval_us = (gint64)(settings->heartbeat_ms * MS);
     guint standing = 0;
     for (guint i = 0; i < s->count; i++) {
-        standing += s->places[i].ready[ENGINES_KEPT] +
+        standing += s->places[i].ready[ENGINES_ON_DEMAND] +
                     s->places[i].ready[ENGINES_RECLAIMABLE];
     }
     if (s->settled || standing == 0) {
@@ -415,7 +417,7 @@
 service_step(service_plan_t *s, gint64 now)
 {
     service_demand_t demand =
-        capacity_demand_of(s->duty->demand, s->service, now);
+        capacity_demand_sum(s->duty->demand, s->service, now);
     supply_follow(s);
     if (!is_settled(s, now) || is_too_large(s)) {
         return;
@@ -424,7 +426,7 @@
                          s->count, now);
     for (guint i = 0; i < s->count; i++) {
         order_place(s, &s->places[i], ENGINES_RECLAIMABLE, now);
-        order_place(s, &s->places[i], ENGINES_KEPT, now);
+        order_place(s, &s->places[i], ENGINES_ON_DEMAND, now);
     }
 }
 
@@ -484,17 +486,17 @@
 /* ---- for people ---- */
 
 static json_t *
-place_json(const capacity_place_t *p, gint64 now)
+place_json(const capacity_data_centre_t *p, gint64 now)
 {
     return json_pack(
         "{s:s,s:f,s:i,s:i,s:i,s:i,s:i,s:i,s:b}", "data_centre", p->name,
-        "price", p->price, "kept_wanted", (int)p->wanted[ENGINES_KEPT],
-        "kept_ordered", (int)p->ordered[ENGINES_KEPT], "kept_ready",
-        (int)p->ready[ENGINES_KEPT], "reclaimable_wanted",
+        "price", p->price, "kept_wanted", (int)p->wanted[ENGINES_ON_DEMAND],
+        "kept_ordered", (int)p->ordered[ENGINES_ON_DEMAND], "kept_ready",
+        (int)p->ready[ENGINES_ON_DEMAND], "reclaimable_wanted",
         (int)p->wanted[ENGINES_RECLAIMABLE], "reclaimable_ordered",
         (int)p->ordered[ENGINES_RECLAIMABLE], "reclaimable_ready",
         (int)p->ready[ENGINES_RECLAIMABLE], "none_to_be_had",
-        now < p->lacking_us);
+        now < p->unavailable_until_us);
 }
 
 static json_t *
@@ -502,13 +504,13 @@
 {
     gint64 now = clock_boot_us();
     service_demand_t demand =
-        capacity_demand_of(s->duty->demand, s->service, now);
+        capacity_demand_sum(s->duty->demand, s->service, now);
     json_t *places = json_array();
     for (guint i = 0; i < s->count; i++) {
         json_array_append_new(places, place_json(&s->places[i], now));
     }
     return json_pack("{s:s,s:s,s:i,s:f,s:f,s:f,s:f,s:f,s:f,s:o}", "service",
-                     s->service, "way", s->plan.way->name, "planned",
+                     s->service, "way", s->plan.estimator->name, "planned",
                      (int)s->plan.total, "needed", s->plan.needed, "peak",
                      s->plan.peak, "running", demand.running,
                      "arrive_a_second", demand.arrived, "turned_away_a_second",
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -32,7 +32,7 @@
     }
     event_log_number("token", (gint64)d->control->view.term);
     if (held) {
-        event_log_number("acts_in_ms", (d->lease.from_us - now_us) / MS);
+        event_log_number("acts_in_ms", (d->lease.valid_from_us - now_us) / MS);
     }
     else {
         event_log_number("held_for_ms", (now_us - d->since_us) / MS);
@@ -126,8 +126,8 @@
         return;
     }
     if (c->duties != NULL) {
-        site_clock_note(c->duties->clock, word.from, word.wall_us,
-                        clock_boot_us());
+        site_clock_record(c->duties->clock, word.from, word.wall_us,
+                          clock_boot_us());
     }
     clock_word_clear(&word);
     http_exchange_answer(exchange, 204, STR(""), STR(""));
@@ -202,7 +202,7 @@
     duty_stamp_t stamp = {
         .host = s->platform,
         .holder = s->instance,
-        .token = duty_lease_holds(&d->lease, clock_boot_us()),
+        .token = duty_lease_token(&d->lease, clock_boot_us()),
     };
     if (stamp.token == 0 || !rate_allows(d, clock_boot_us())) {
         return FALSE;
@@ -237,7 +237,7 @@
     }
     lease_update(d);
     duty_calls_check(d->calls);
-    if (duty_lease_holds(&d->lease, clock_boot_us()) == 0) {
+    if (duty_lease_token(&d->lease, clock_boot_us()) == 0) {
         return;
     }
     if (d->usage != NULL) {
@@ -298,7 +298,7 @@
 duties_dump(const duties_t *d, GString *text)
 {
     gint64 now = clock_boot_us();
-    guint64 token = duty_lease_holds(&d->lease, now);
+    guint64 token = duty_lease_token(&d->lease, now);
     g_string_append_printf(
         text,
         "duties %s, token %" G_GUINT64_FORMAT ", since %ld ms, clocks %u\n",
--- a/carobloomd/control/duty_calls.c
+++ b/carobloomd/control/duty_calls.c
@@ -59,7 +59,8 @@
 {
     (void)call;
     duty_call_t *d = user;
-    return duty_lease_act(d->calls->lease, clock_boot_us()) == d->token;
+    return duty_lease_authorize_call(d->calls->lease, clock_boot_us()) ==
+           d->token;
 }
 
 static call_verdict_t
@@ -141,7 +142,7 @@
                 duty_answered_t answered, void *user)
 {
     /* A kept connection takes the bytes within client_call_create. */
-    if (duty_lease_act(calls->lease, clock_boot_us()) != token) {
+    if (duty_lease_authorize_call(calls->lease, clock_boot_us()) != token) {
         return FALSE;
     }
     duty_call_t *d = g_new0(duty_call_t, 1);
@@ -161,7 +162,7 @@
 void
 duty_calls_check(duty_calls_t *calls)
 {
-    guint64 token = duty_lease_holds(calls->lease, clock_boot_us());
+    guint64 token = duty_lease_token(calls->lease, clock_boot_us());
     GList *next;
     for (GList *l = calls->under_way; l != NULL; l = next) {
         duty_call_t *d = l->data;
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -29,11 +29,11 @@
     gint64 retry_us;
 };
 
-static usage_times_t
+static usage_schedule_t
 times_of(const usage_duty_t *u)
 {
     const gateway_settings_t *s = u->duties->control->settings;
-    return (usage_times_t){
+    return (usage_schedule_t){
         .window_us = (gint64)(s->usage_window_s * G_USEC_PER_SEC),
         .due_us = (gint64)(s->usage_due_s * G_USEC_PER_SEC)};
 }
@@ -59,7 +59,7 @@
 void
 usage_duty_begin(usage_duty_t *u)
 {
-    usage_book_begin(u->book, duties_wall_us(u->duties));
+    usage_book_start_term(u->book, duties_wall_us(u->duties));
     u->telling = 0;
     u->told_through = 0;
     u->proposed = 0;
@@ -70,7 +70,8 @@
 void
 usage_duty_report(usage_duty_t *u, const usage_report_t *report)
 {
-    usage_book_heard(u->book, report->incarnation, duties_wall_us(u->duties));
+    usage_book_record_contact(u->book, report->incarnation,
+                              duties_wall_us(u->duties));
     for (guint i = 0; i < report->windows->len; i++) {
         const usage_window_t *w = report->windows->pdata[i];
         if (w->window > usage_duty_fixed_through(u)) {
@@ -96,7 +97,7 @@
 guint64
 usage_duty_fixed_through(const usage_duty_t *u)
 {
-    return usage_ledger_fixed_through(u->ledger);
+    return usage_ledger_finalized_through(u->ledger);
 }
 
 /* ---- fixing ---- */
@@ -126,10 +127,10 @@
 fix_due(usage_duty_t *u)
 {
     gint64 now = clock_boot_us();
-    usage_times_t times = times_of(u);
+    usage_schedule_t times = times_of(u);
     usage_window_t *figures =
-        usage_book_due(u->book, &times, usage_duty_fixed_through(u),
-                       duties_wall_us(u->duties));
+        usage_book_next_final(u->book, &times, usage_duty_fixed_through(u),
+                              duties_wall_us(u->duties));
     if (figures == NULL) {
         return;
     }
@@ -151,7 +152,7 @@
     const GArray *windows = usage_ledger_windows(u->ledger);
     for (guint i = 0; i < windows->len; i++) {
         const usage_window_t *w =
-            g_array_index(windows, fixed_window_t, i).figures;
+            g_array_index(windows, finalized_window_t, i).figures;
         if (w->window == window) {
             return w;
         }
@@ -190,7 +191,8 @@
 static void
 tell_untold(usage_duty_t *u)
 {
-    const usage_window_t *w = usage_ledger_untold(u->ledger, u->told_through);
+    const usage_window_t *w =
+        usage_ledger_next_unaccepted(u->ledger, u->told_through);
     if (w == NULL || u->telling != 0 || clock_boot_us() < u->retry_at_us) {
         return;
     }
@@ -228,11 +230,13 @@
     json_t *rows = json_array();
     const GArray *windows = usage_ledger_windows(u->ledger);
     for (guint i = 0; i < windows->len; i++) {
-        const fixed_window_t *f = &g_array_index(windows, fixed_window_t, i);
+        const finalized_window_t *f =
+            &g_array_index(windows, finalized_window_t, i);
         json_array_append_new(
-            rows, window_json(f->figures, f->taken ? "told" : "not told yet"));
+            rows,
+            window_json(f->figures, f->accepted ? "told" : "not told yet"));
     }
-    GPtrArray *open = usage_book_open(u->book);
+    GPtrArray *open = usage_book_pending(u->book);
     for (guint i = 0; i < open->len; i++) {
         json_array_append_new(rows, window_json(open->pdata[i], "counting"));
     }
--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -206,7 +206,7 @@
     timers_cancel(e->timers, link->timer);
     inner_line_destroy(link->line);
     crash_link_forget(e->crash_link, link->address);
-    directory_forget(e->directory, link->source, entry_now(e));
+    directory_source_reset(e->directory, link->source, entry_now(e));
     g_free(link->address);
     g_free(link->data_centre);
     g_free(link);
@@ -253,7 +253,7 @@
     gint64 now = entry_now(e);
     note_version(e, answer->version);
     if (answer->full && link->epoch != answer->epoch) {
-        directory_forget(e->directory, link->source, now);
+        directory_source_reset(e->directory, link->source, now);
     }
     for (guint i = 0; i < answer->leases->len; i++) {
         directory_update(e->directory, link->source, answer->leases->pdata[i],
@@ -353,9 +353,9 @@
     sync_pace_t pace = {
         .entries = e->entries,
         .leads = link->leads,
-        .sound =
+        .healthy =
             link->answered_us != 0 && !link->lost && entry_is_confirmed(e),
-        .bound_ms = e->settings->revoke_ms,
+        .revocation_bound_ms = e->settings->revoke_ms,
     };
     return sync_wait_ms(&pace);
 }
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -308,7 +308,7 @@
 {
     const crash_watch_t *w = b->watch;
     gint64 age_us = now_us - b->broke_us;
-    start_state_t state = directory_start_state(
+    incarnation_state_t state = directory_incarnation_state(
         w->setup.directory, b->end.endpoint, b->end.started_ms, b->address);
     if (b->ended && b->news) {
         tell(b);
@@ -319,10 +319,10 @@
     if (b->ended) {
         return FALSE;
     }
-    if (state == START_LEAVES) {
+    if (state == INCARNATION_LEAVING) {
         return TRUE;
     }
-    if (state == START_REPLACED) {
+    if (state == INCARNATION_REPLACED) {
         note_evidence(b, "another start has its address");
     }
     if (b->evidence == NULL && !b->probed && age_us >= PROBE_US) {
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -187,7 +187,7 @@
         answer_too_long(f, "the endpoint's answer is too long");
         return;
     }
-    if (!memory_gathers(entry_memory(e), entry_answers_held(e))) {
+    if (!memory_admits_buffered(entry_memory(e), entry_answers_held(e))) {
         answer_too_long(f, "no memory for the endpoint's answer");
         return;
     }
@@ -203,7 +203,7 @@
     const entry_t *e = f->entry;
     return f->begun &&
            http_exchange_backlog(f->exchange) >
-               memory_stream_most(entry_memory(e), entry_answers_held(e));
+               memory_stream_max(entry_memory(e), entry_answers_held(e));
 }
 
 static void
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -551,7 +551,7 @@
     for (guint i = 0; i < states->len; i++) {
         limit_change_t change;
         const limit_state_t *state = &g_array_index(states, limit_state_t, i);
-        const endpoint_t *e = directory_take_limit(
+        const endpoint_t *e = directory_apply_limit(
             link->entry->directory, state, &change, limit_link_now());
         if (e != NULL && e->limit != NULL) {
             limit_log_change(link->entry, e, change, control);
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -128,8 +128,8 @@
         link_failed(link);
         return;
     }
-    directory_take_loads(e->directory, answer.loads, link->reported);
-    directory_take_parts(e->directory, answer.parts);
+    directory_apply_loads(e->directory, answer.loads, link->reported);
+    directory_apply_parts(e->directory, answer.parts);
     link->heard = answer.heard;
     entry_take_loads(e);
     gint64 since = entry_now(e) - link->asked_us;
--- a/carobloomd/gateway/usage_wire.c
+++ b/carobloomd/gateway/usage_wire.c
@@ -87,7 +87,7 @@
         const engine_supply_t *s =
             &g_array_index(supplies, engine_supply_t, i);
         g_variant_builder_add(&b, "(ssuuu)", s->service, s->data_centre,
-                              s->slots, s->kept, s->reclaimable);
+                              s->slots, s->on_demand, s->reclaimable);
     }
     return g_variant_builder_end(&b);
 }
@@ -142,7 +142,7 @@
     gboolean sound = g_variant_iter_init(&iter, list) <= USAGE_SUPPLIES_MAX;
     while (sound &&
            g_variant_iter_next(&iter, "(ssuuu)", &s.service, &s.data_centre,
-                               &s.slots, &s.kept, &s.reclaimable)) {
+                               &s.slots, &s.on_demand, &s.reclaimable)) {
         g_array_append_val(r->supplies, s);
     }
     g_variant_unref(list);
@@ -274,10 +274,10 @@
         return FALSE;
     }
     if (kind == COMMAND_FIX) {
-        return usage_ledger_fix(ledger, figures);
+        return usage_ledger_finalize(ledger, figures);
     }
     usage_window_free(figures);
-    usage_ledger_take(ledger, window);
+    usage_ledger_mark_accepted(ledger, window);
     return kind == COMMAND_TAKE;
 }
 
@@ -288,9 +288,9 @@
     const GArray *windows = usage_ledger_windows(ledger);
     g_variant_builder_init(&b, G_VARIANT_TYPE(LEDGER_TYPE));
     for (guint i = 0; i < windows->len; i++) {
-        const fixed_window_t *fixed =
-            &g_array_index(windows, fixed_window_t, i);
-        g_variant_builder_add(&b, "(bt@" COUNTS_TYPE ")", fixed->taken,
+        const finalized_window_t *fixed =
+            &g_array_index(windows, finalized_window_t, i);
+        g_variant_builder_add(&b, "(bt@" COUNTS_TYPE ")", fixed->accepted,
                               fixed->figures->window,
                               counts_variant(fixed->figures->counts));
     }
--- a/include/carobloom/policy/capacity_demand.h
+++ b/include/carobloom/policy/capacity_demand.h
@@ -30,10 +30,10 @@
 capacity_demand_t *capacity_demand_create(void);
 void capacity_demand_destroy(capacity_demand_t *demand);
 /* A report of one start of an entry instance. */
-void capacity_demand_note(capacity_demand_t *demand, guint64 incarnation,
-                          const service_work_t *work, gint64 now_us);
-service_demand_t capacity_demand_of(const capacity_demand_t *demand,
-                                    const char *service, gint64 now_us);
+void capacity_demand_record(capacity_demand_t *demand, guint64 incarnation,
+                            const service_work_t *work, gint64 now_us);
+service_demand_t capacity_demand_sum(const capacity_demand_t *demand,
+                                     const char *service, gint64 now_us);
 /* Leaves out entry instances that told nothing lately. */
 void capacity_demand_expire(capacity_demand_t *demand, gint64 now_us);
 
--- a/include/carobloom/policy/capacity_plan.h
+++ b/include/carobloom/policy/capacity_plan.h
@@ -12,7 +12,7 @@
 #include "carobloom/policy/capacity_demand.h"
 
 typedef enum {
-    ENGINES_KEPT,
+    ENGINES_ON_DEMAND,
     ENGINES_RECLAIMABLE,
     ENGINES_KINDS,
 } supply_kind_t;
@@ -25,52 +25,55 @@
     guint ordered[ENGINES_KINDS]; /* as the platform last took it */
     guint wanted[ENGINES_KINDS];  /* the plan */
     gboolean idle;                /* no demand was seen yet */
-    gint64 lacking_us; /* no reclaimable ones are to be had until then */
-} capacity_place_t;
+    gint64 unavailable_until_us;  /* no reclaimable ones are to be had until
+                                     then */
+} capacity_data_centre_t;
 
 /* What an operator and the platform allow. */
 typedef struct {
-    guint least; /* in one data centre, both kinds together */
-    guint most;
-    guint floor;              /* in all */
-    guint ceiling;            /* in all; 0: none */
+    guint min_per_data_centre; /* in one data centre, both kinds together */
+    guint max_per_data_centre;
+    guint min_total;          /* in all */
+    guint max_total;          /* in all; 0: none */
     double reclaimable_price; /* in parts of a kept one's; 0: none are had */
-    double reclaimable_part;  /* of what is ordered, at most */
+    double reclaimable_fraction; /* of what is ordered, at most */
 } capacity_bounds_t;
 
-/* Way to work out how many are needed; see capacity_way_find. */
+/* Way to work out how many are needed; see capacity_estimator_find. */
 typedef struct {
     const char *name;
     /* Engines that serve the demand well, of so many slots each. */
     double (*needed)(const service_demand_t *demand, guint slots);
-} capacity_way_t;
+} capacity_estimator_t;
 
 typedef struct {
-    const capacity_way_t *way;
+    const capacity_estimator_t *estimator;
     double needed; /* by the demand now */
     double peak;   /* the highest of late, that is planned for */
     gint64 peak_us;
-    gint64 at_us;
-    gint64 seen_us;  /* when demand was first seen; 0: not yet */
-    guint inherited; /* that stood when it began amid demand; 0: it did not */
-    guint total;     /* engines planned */
+    gint64 updated_us;
+    gint64 first_demand_us; /* when demand was first seen; 0: not yet */
+    guint initial_engines;  /* that stood when it began amid demand; 0: it did
+                               not */
+    guint total;            /* engines planned */
 } capacity_plan_t;
 
 /* "model": by the reading that is asked for and the slots taken. "share": by
  * the slots alone. NULL for no such way. */
-const capacity_way_t *capacity_way_find(const char *name);
-void capacity_plan_init(capacity_plan_t *plan, const capacity_way_t *way);
+const capacity_estimator_t *capacity_estimator_find(const char *name);
+void capacity_plan_init(capacity_plan_t *plan,
+                        const capacity_estimator_t *estimator);
 /* Takes the demand as it is now and fills in `wanted` of each place;
  * `slots` are those of one engine. */
 void capacity_plan_update(capacity_plan_t *plan,
                           const capacity_bounds_t *bounds,
                           const service_demand_t *demand, guint slots,
-                          capacity_place_t *places, guint count,
+                          capacity_data_centre_t *data_centres, guint count,
                           gint64 now_us);
 /* What is to be ordered now of one kind at a place, on the way to what is
  * wanted: reclaimable engines that came up let kept ones go, and both together
  * never exceed what the platform allows there. */
-guint capacity_next_order(const capacity_place_t *place, supply_kind_t kind,
-                          guint most);
+guint capacity_next_order(const capacity_data_centre_t *data_centre,
+                          supply_kind_t kind, guint max_engines);
 
 #endif
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -24,7 +24,7 @@
     LEASE_READY,
     LEASE_DRAINING, /* takes no new work */
     LEASE_LEFT,     /* for good */
-    LEASE_SILENT,   /* not renewed at this control instance */
+    LEASE_EXPIRED,  /* not renewed at this control instance */
     LEASE_STATES,
 } lease_state_t;
 
@@ -48,17 +48,17 @@
 
 /* What is known of one start of an endpoint. */
 typedef enum {
-    START_KNOWN,
-    START_LEAVES,   /* it drains or has left, as it said */
-    START_REPLACED, /* another start has its id or its address */
-} start_state_t;
+    INCARNATION_CURRENT,
+    INCARNATION_LEAVING,  /* it drains or has left, as it said */
+    INCARNATION_REPLACED, /* another start has its id or its address */
+} incarnation_state_t;
 
 /* Endpoints of a service that take work, in one data centre. */
 typedef struct {
     char *service;
     char *data_centre;
     guint32 slots; /* of one of them */
-    guint32 kept;
+    guint32 on_demand;
     guint32 reclaimable;
 } engine_supply_t;
 
@@ -68,13 +68,14 @@
 typedef struct directory directory_t;
 
 /* `drop` frees an endpoint's `connections` as it goes. */
-directory_t *directory_create(void (*drop)(void *connections));
+directory_t *directory_create(void (*free_connections)(void *connections));
 void directory_destroy(directory_t *directory);
 /* Takes a lease as told by `source` (below DIRECTORY_SOURCES_MAX). */
 void directory_update(directory_t *directory, guint source,
                       const endpoint_lease_t *lease, gint64 now_us);
 /* `source` starts over: what only it had heard is trusted a while longer. */
-void directory_forget(directory_t *directory, guint source, gint64 now_us);
+void directory_source_reset(directory_t *directory, guint source,
+                            gint64 now_us);
 /* Frees endpoints that have left, or started again, and have no requests. */
 void directory_sweep(directory_t *directory, gint64 now_us);
 endpoint_t *directory_find(directory_t *directory, const char *id);
@@ -89,30 +90,31 @@
                                           void *user),
                             void *user);
 /* `started_ms` and `address` are as the start's lease said. */
-start_state_t directory_start_state(const directory_t *directory,
-                                    const char *id, gint64 started_ms,
-                                    const char *address);
+incarnation_state_t directory_incarnation_state(const directory_t *directory,
+                                                const char *id,
+                                                gint64 started_ms,
+                                                const char *address);
 guint directory_count(const directory_t *directory);
 /* Endpoints looked at so far for the loads: what they cost this instance. */
 guint64 directory_visits(const directory_t *directory);
 /* A request of this instance goes to an endpoint, and is over there; see
  * endpoint_join and endpoint_leave. */
-void directory_join(directory_t *directory, endpoint_t *endpoint,
-                    guint prompt_tokens, guint waiting_tokens);
-void directory_leave(directory_t *directory, endpoint_t *endpoint,
-                     guint prompt_tokens);
+void directory_request_start(directory_t *directory, endpoint_t *endpoint,
+                             guint prompt_tokens, guint waiting_tokens);
+void directory_request_end(directory_t *directory, endpoint_t *endpoint,
+                           guint prompt_tokens);
 /* Requests under way here: a new array of endpoint_load_t. */
 GArray *directory_loads(directory_t *directory);
 /* Takes the sums over all entry instances, of which `own` were reported by
  * this one. An endpoint that is not among them has none of the others. */
-void directory_take_loads(directory_t *directory, const GArray *sums,
-                          const GArray *own);
+void directory_apply_loads(directory_t *directory, const GArray *sums,
+                           const GArray *own);
 /* An endpoint is sent a prompt with this part. What is remembered of all
  * endpoints is bounded: of each the less the more there are. */
-void directory_note_part(directory_t *directory, endpoint_t *endpoint,
-                         guint64 part);
+void directory_record_part(directory_t *directory, endpoint_t *endpoint,
+                           guint64 part);
 /* Takes what entry instances say of parts that they sent; part_note_t. */
-void directory_take_parts(directory_t *directory, const GArray *notes);
+void directory_apply_parts(directory_t *directory, const GArray *notes);
 /* What is known of an endpoint's limit; the record lives as long as the
  * endpoint. */
 endpoint_limit_t *directory_limit(directory_t *directory,
@@ -121,9 +123,9 @@
 const GPtrArray *directory_limits(const directory_t *directory);
 /* Takes what the owner of a limit says. The endpoint, or NULL when it is not
  * known yet, which is remembered. */
-endpoint_t *directory_take_limit(directory_t *directory,
-                                 const limit_state_t *state,
-                                 limit_change_t *change, gint64 now_us);
+endpoint_t *directory_apply_limit(directory_t *directory,
+                                  const limit_state_t *state,
+                                  limit_change_t *change, gint64 now_us);
 /* Requests of all instances at a service's endpoints, by kind; objectives and
  * speed are the caller's to fill in. */
 split_demand_t directory_demand(directory_t *directory, const char *service,
--- a/include/carobloom/policy/site_clock.h
+++ b/include/carobloom/policy/site_clock.h
@@ -13,8 +13,8 @@
 site_clock_t *site_clock_create(void);
 void site_clock_destroy(site_clock_t *clock);
 /* An instance's clock showed `wall_us` (Unix time) as its word came. */
-void site_clock_note(site_clock_t *clock, const char *instance, gint64 wall_us,
-                     gint64 now_us);
+void site_clock_record(site_clock_t *clock, const char *instance,
+                       gint64 wall_us, gint64 now_us);
 /* Unix time by the median; `own_wall_us` is this instance's own clock. */
 gint64 site_clock_wall_us(site_clock_t *clock, gint64 own_wall_us,
                           gint64 now_us);
--- a/include/carobloom/policy/sync_pace.h
+++ b/include/carobloom/policy/sync_pace.h
@@ -6,10 +6,11 @@
 #include <glib.h>
 
 typedef struct {
-    guint entries;   /* that ask */
-    gboolean leads;  /* the one asked confirms the configuration */
-    gboolean sound;  /* it answers, and the configuration is confirmed */
-    double bound_ms; /* within which a withdrawn key must not serve; 0: none */
+    guint entries;    /* that ask */
+    gboolean leads;   /* the one asked confirms the configuration */
+    gboolean healthy; /* it answers, and the configuration is confirmed */
+    double revocation_bound_ms; /* within which a withdrawn key must not serve;
+                                   0: none */
 } sync_pace_t;
 
 /* In ms. */
--- a/policy/capacity_demand.c
+++ b/policy/capacity_demand.c
@@ -5,12 +5,12 @@
 enum {
     /* An entry instance that told nothing for so long has ended, or is cut
      * off: its callers are with others by then. */
-    SILENT_US = 2 * G_USEC_PER_SEC,
+    REPORT_TIMEOUT_US = 2 * G_USEC_PER_SEC,
 };
 
 /* Rates follow what is told within about so long: a third of the time that an
  * engine takes to start where it was met. */
-static const double SMOOTH_US = 700 * 1000;
+static const double RATE_TIME_CONSTANT_US = 700 * 1000;
 
 /* What one start of an entry instance last told of a service. */
 typedef struct {
@@ -18,7 +18,7 @@
     double arrived;      /* a second */
     double turned_away;
     double read_tokens;
-    gint64 at_us;
+    gint64 reported_us;
 } reporter_t;
 
 struct capacity_demand {
@@ -60,33 +60,33 @@
 }
 
 static void
-follow(double *rate, guint64 before, guint64 now, gint64 us)
+rate_update(double *rate, guint64 before, guint64 now, gint64 us)
 {
-    double seen = (double)(now - MIN(before, now)) * G_USEC_PER_SEC / us;
-    *rate += (1 - exp(-(double)us / SMOOTH_US)) * (seen - *rate);
+    double sample = (double)(now - MIN(before, now)) * G_USEC_PER_SEC / us;
+    *rate += (1 - exp(-(double)us / RATE_TIME_CONSTANT_US)) * (sample - *rate);
 }
 
 void
-capacity_demand_note(capacity_demand_t *d, guint64 incarnation,
-                     const service_work_t *work, gint64 now_us)
+capacity_demand_record(capacity_demand_t *d, guint64 incarnation,
+                       const service_work_t *work, gint64 now_us)
 {
     reporter_t *r = reporter_find(d, work->service, incarnation);
-    gint64 since_us = now_us - r->at_us;
-    if (r->at_us != 0 && since_us > 0) {
-        follow(&r->arrived, r->last.arrived, work->arrived, since_us);
-        follow(&r->turned_away, r->last.turned_away, work->turned_away,
-               since_us);
-        follow(&r->read_tokens, r->last.read_tokens, work->read_tokens,
-               since_us);
+    gint64 since_us = now_us - r->reported_us;
+    if (r->reported_us != 0 && since_us > 0) {
+        rate_update(&r->arrived, r->last.arrived, work->arrived, since_us);
+        rate_update(&r->turned_away, r->last.turned_away, work->turned_away,
+                    since_us);
+        rate_update(&r->read_tokens, r->last.read_tokens, work->read_tokens,
+                    since_us);
     }
     r->last = *work;
     r->last.service = NULL;
-    r->at_us = now_us;
+    r->reported_us = now_us;
 }
 
 service_demand_t
-capacity_demand_of(const capacity_demand_t *d, const char *service,
-                   gint64 now_us)
+capacity_demand_sum(const capacity_demand_t *d, const char *service,
+                    gint64 now_us)
 {
     service_demand_t sum = {0};
     GHashTable *reporters = g_hash_table_lookup(d->services, service);
@@ -98,7 +98,7 @@
     g_hash_table_iter_init(&iter, reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         const reporter_t *r = value;
-        if (now_us - r->at_us > SILENT_US) {
+        if (now_us - r->reported_us > REPORT_TIMEOUT_US) {
             continue;
         }
         sum.reporters++;
@@ -123,7 +123,8 @@
         gpointer value;
         g_hash_table_iter_init(&iter, reporters);
         while (g_hash_table_iter_next(&iter, NULL, &value)) {
-            if (now_us - ((reporter_t *)value)->at_us > SILENT_US) {
+            if (now_us - ((reporter_t *)value)->reported_us >
+                REPORT_TIMEOUT_US) {
                 g_hash_table_iter_remove(&iter);
             }
         }
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -7,23 +7,23 @@
 enum {
     SECOND_US = 1000 * 1000,
     /* Three heartbeats of 1.2 s and one that is late. */
-    TRUST_US = 5 * SECOND_US,
+    LEASE_GRACE_US = 5 * SECOND_US,
     /* A late renewal of an endpoint that left must still be known as such:
      * they were met seconds late, not minutes. */
-    REMEMBER_US = 120 * SECOND_US,
+    DEPARTURE_RETENTION_US = 120 * SECOND_US,
     /* From an endpoint's word that it drains to its end, the shortest met. */
-    DRAINS_US = 2 * SECOND_US,
+    DRAIN_MIN_US = 2 * SECOND_US,
     /* Its word may be half a second old, and what is fetched takes a few
      * milliseconds. */
-    LEND_MARGIN_US = 500 * 1000,
+    FETCH_MARGIN_US = 500 * 1000,
     /* Prompt parts that are remembered of one endpoint, and of all: 1 MB. */
-    PARTS_MOST = 512,
-    PARTS_LEAST = 8,
-    PARTS_OF_ALL = 128 * 1024,
-    EARLY_LIMITS_MAX = 1024,
+    ENDPOINT_PARTS_MAX = 512,
+    ENDPOINT_PARTS_MIN = 8,
+    TOTAL_PARTS_MAX = 128 * 1024,
+    PENDING_LIMITS_MAX = 1024,
     /* Between two counts of a service's usable endpoints, for each of them: so
      * much of the time goes into it, whatever their number. */
-    COUNT_US_AN_ENDPOINT = 50,
+    RECOUNT_INTERVAL_PER_ENDPOINT_US = 50,
 };
 
 /* The endpoints of one service. */
@@ -36,17 +36,17 @@
 } service_list_t;
 
 struct directory {
-    GHashTable *by_id;      /* endpoint_t, owned */
-    GHashTable *by_address; /* the newest endpoint of an address */
-    GHashTable *by_service; /* name -> service_list_t */
-    GHashTable *busy;       /* set of endpoint_t with own requests */
-    GPtrArray *told;        /* endpoint_t that have requests of others */
-    GHashTable *left;       /* id -> departure_t */
-    GPtrArray *gone;        /* endpoint_t that left or started again */
-    GPtrArray *limits;      /* endpoint_t with a record of a limit */
-    GHashTable *early;      /* limit_state_t, of endpoints not known yet */
-    guint64 visits;         /* endpoints looked at */
-    void (*drop)(void *connections);
+    GHashTable *by_id;          /* endpoint_t, owned */
+    GHashTable *by_address;     /* the newest endpoint of an address */
+    GHashTable *by_service;     /* name -> service_list_t */
+    GHashTable *active;         /* set of endpoint_t with own requests */
+    GPtrArray *reported;        /* endpoint_t that have requests of others */
+    GHashTable *departures;     /* id -> departure_t */
+    GPtrArray *removed;         /* endpoint_t that left or started again */
+    GPtrArray *limits;          /* endpoint_t with a record of a limit */
+    GHashTable *pending_limits; /* limit_state_t, of endpoints not known yet */
+    guint64 visits;             /* endpoints looked at */
+    void (*free_connections)(void *connections);
 };
 
 /* An endpoint left. */
@@ -79,7 +79,7 @@
 endpoint_free(directory_t *d, endpoint_t *e)
 {
     if (e->connections != NULL) {
-        d->drop(e->connections);
+        d->free_connections(e->connections);
     }
     g_free(e->id);
     g_ref_string_release(e->service);
@@ -99,34 +99,35 @@
 }
 
 directory_t *
-directory_create(void (*drop)(void *connections))
+directory_create(void (*free_connections)(void *connections))
 {
     directory_t *d = g_new0(directory_t, 1);
     d->by_id = g_hash_table_new(g_str_hash, g_str_equal);
     d->by_address = g_hash_table_new(g_str_hash, g_str_equal);
     d->by_service = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                           service_list_free);
-    d->busy = g_hash_table_new(NULL, NULL);
-    d->told = g_ptr_array_new();
-    d->left = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    d->gone = g_ptr_array_new();
+    d->active = g_hash_table_new(NULL, NULL);
+    d->reported = g_ptr_array_new();
+    d->departures =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    d->removed = g_ptr_array_new();
     d->limits = g_ptr_array_new();
-    d->early =
+    d->pending_limits =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    d->drop = drop;
+    d->free_connections = free_connections;
     return d;
 }
 
 void
 directory_destroy(directory_t *d)
 {
-    for (guint i = 0; i < d->gone->len; i++) {
-        endpoint_t *e = d->gone->pdata[i];
+    for (guint i = 0; i < d->removed->len; i++) {
+        endpoint_t *e = d->removed->pdata[i];
         if (g_hash_table_lookup(d->by_id, e->id) != e) {
             endpoint_free(d, e);
         }
     }
-    g_ptr_array_unref(d->gone);
+    g_ptr_array_unref(d->removed);
     GHashTableIter iter;
     gpointer value;
     g_hash_table_iter_init(&iter, d->by_id);
@@ -136,11 +137,11 @@
     g_hash_table_unref(d->by_id);
     g_hash_table_unref(d->by_address);
     g_hash_table_unref(d->by_service);
-    g_hash_table_unref(d->busy);
-    g_ptr_array_unref(d->told);
-    g_hash_table_unref(d->left);
+    g_hash_table_unref(d->active);
+    g_ptr_array_unref(d->reported);
+    g_hash_table_unref(d->departures);
     g_ptr_array_unref(d->limits);
-    g_hash_table_unref(d->early);
+    g_hash_table_unref(d->pending_limits);
     g_free(d);
 }
 
@@ -157,29 +158,30 @@
 }
 
 static void
-note_departure(directory_t *d, const char *id, gint64 started_ms,
-               gint64 now_us)
+departure_record(directory_t *d, const char *id, gint64 started_ms,
+                 gint64 now_us)
 {
     departure_t departure = {.at_us = now_us, .started_ms = started_ms};
-    const departure_t *before = g_hash_table_lookup(d->left, id);
+    const departure_t *before = g_hash_table_lookup(d->departures, id);
     if (before != NULL) {
         departure.started_ms = MAX(started_ms, before->started_ms);
     }
-    g_hash_table_insert(d->left, g_strdup(id),
+    g_hash_table_insert(d->departures, g_strdup(id),
                         g_memdup2(&departure, sizeof(departure)));
 }
 
 static gboolean
 has_left(const directory_t *d, const endpoint_lease_t *lease)
 {
-    const departure_t *departure = g_hash_table_lookup(d->left, lease->id);
+    const departure_t *departure =
+        g_hash_table_lookup(d->departures, lease->id);
     return departure != NULL && lease->started_ms <= departure->started_ms;
 }
 
 /* The place of a hash in a list that is sorted by it: of the first one that is
  * no lower. */
 static guint
-list_place(const GPtrArray *list, guint64 hash)
+list_lower_bound(const GPtrArray *list, guint64 hash)
 {
     guint from = 0;
     guint to = list->len;
@@ -200,14 +202,14 @@
 static void
 list_insert(GPtrArray *list, endpoint_t *e)
 {
-    g_ptr_array_insert(list, (gint)list_place(list, e->hash), e);
+    g_ptr_array_insert(list, (gint)list_lower_bound(list, e->hash), e);
 }
 
 /* Two may have one hash. */
 static void
 list_remove(GPtrArray *list, const endpoint_t *e)
 {
-    guint at = list_place(list, e->hash);
+    guint at = list_lower_bound(list, e->hash);
     while (at < list->len && list->pdata[at] != e) {
         at++;
     }
@@ -219,7 +221,7 @@
 static endpoint_t *
 list_find(const GPtrArray *list, guint64 hash)
 {
-    guint at = list_place(list, hash);
+    guint at = list_lower_bound(list, hash);
     endpoint_t *e = at < list->len ? list->pdata[at] : NULL;
     return e != NULL && e->hash == hash ? e : NULL;
 }
@@ -227,18 +229,18 @@
 /* It is no longer one of its service's, and is freed when its requests are
  * over. */
 static void
-directory_drop(directory_t *d, endpoint_t *e)
+directory_remove(directory_t *d, endpoint_t *e)
 {
     if (e->left) {
         return;
     }
     e->left = TRUE;
-    g_ptr_array_add(d->gone, e);
+    g_ptr_array_add(d->removed, e);
     list_remove(service_list(d, e->service), e);
     g_ptr_array_remove_fast(d->limits, e);
     if (e->told) {
         e->told = FALSE;
-        g_ptr_array_remove_fast(d->told, e);
+        g_ptr_array_remove_fast(d->reported, e);
     }
     if (g_hash_table_lookup(d->by_address, e->address) == e) {
         g_hash_table_remove(d->by_address, e->address);
@@ -249,9 +251,9 @@
 static void
 directory_replace(directory_t *d, endpoint_t *e)
 {
-    directory_drop(d, e);
+    directory_remove(d, e);
     g_hash_table_remove(d->by_id, e->id);
-    g_hash_table_remove(d->busy, e);
+    g_hash_table_remove(d->active, e);
 }
 
 /* Two endpoints at one address: the one that started later has it; where
@@ -259,27 +261,28 @@
  * good, since a renewal that was held up may make an old start known last; the
  * answer of the endpoint itself decides (ENDPOINT_MISDIRECTED). */
 static void
-take_address(directory_t *d, endpoint_t *e, gint64 now_us)
+address_claim(directory_t *d, endpoint_t *e, gint64 now_us)
 {
     endpoint_t *before = g_hash_table_lookup(d->by_address, e->address);
     if (before != NULL && before->started_ms > e->started_ms) {
-        e->closed_until_us = now_us + TRUST_US;
+        e->closed_until_us = now_us + LEASE_GRACE_US;
         return;
     }
     if (before != NULL) {
-        before->closed_until_us = now_us + TRUST_US;
+        before->closed_until_us = now_us + LEASE_GRACE_US;
     }
     g_hash_table_replace(d->by_address, e->address, e);
 }
 
 /* What was told of its limit before it was known. */
 static void
-take_early_limit(directory_t *d, endpoint_t *e, gint64 now_us)
+pending_limit_apply(directory_t *d, endpoint_t *e, gint64 now_us)
 {
-    const limit_state_t *state = g_hash_table_lookup(d->early, &e->hash);
+    const limit_state_t *state =
+        g_hash_table_lookup(d->pending_limits, &e->hash);
     if (state != NULL) {
         endpoint_limit_told(directory_limit(d, e), state, now_us);
-        g_hash_table_remove(d->early, &e->hash);
+        g_hash_table_remove(d->pending_limits, &e->hash);
     }
 }
 
@@ -299,23 +302,23 @@
     }
     g_hash_table_insert(d->by_id, e->id, e);
     list_insert(service_list(d, e->service), e);
-    take_address(d, e, now_us);
-    take_early_limit(d, e, now_us);
+    address_claim(d, e, now_us);
+    pending_limit_apply(d, e, now_us);
     return e;
 }
 
 /* An endpoint that drains serves on for a while, whether it says for how long
  * or not. */
 static void
-note_draining(endpoint_t *e, const endpoint_lease_t *lease, gint64 now_us)
+record_draining(endpoint_t *e, const endpoint_lease_t *lease, gint64 now_us)
 {
     if (lease->state != LEASE_DRAINING || e->draining) {
         return;
     }
-    gint64 stays_us =
-        lease->leaves_ms > 0 ? lease->leaves_ms * 1000 : DRAINS_US;
+    gint64 drain_us =
+        lease->leaves_ms > 0 ? lease->leaves_ms * 1000 : DRAIN_MIN_US;
     e->draining = TRUE;
-    e->lends_until_us = now_us + stays_us - LEND_MARGIN_US;
+    e->lends_until_us = now_us + drain_us - FETCH_MARGIN_US;
 }
 
 void
@@ -325,9 +328,9 @@
     endpoint_t *e = g_hash_table_lookup(d->by_id, lease->id);
     if (lease->state == LEASE_LEFT) {
         if (e != NULL && e->started_ms <= lease->started_ms) {
-            directory_drop(d, e);
+            directory_remove(d, e);
         }
-        note_departure(d, lease->id, lease->started_ms, now_us);
+        departure_record(d, lease->id, lease->started_ms, now_us);
         return;
     }
     if (e != NULL && lease->started_ms < e->started_ms) {
@@ -340,18 +343,18 @@
         directory_replace(d, e);
         e = NULL;
     }
-    if (e == NULL && lease->state == LEASE_SILENT) {
+    if (e == NULL && lease->state == LEASE_EXPIRED) {
         return;
     }
     if (e == NULL) {
         e = endpoint_add(d, lease, now_us);
     }
-    if (lease->state == LEASE_SILENT) {
+    if (lease->state == LEASE_EXPIRED) {
         e->heard_by &= ~(1u << source);
         return;
     }
     e->heard_by |= 1u << source;
-    note_draining(e, lease, now_us);
+    record_draining(e, lease, now_us);
     e->slots = lease->slots;
     e->reclaimable = lease->reclaimable;
     if (lease->cold_ms > 0) {
@@ -360,7 +363,7 @@
 }
 
 void
-directory_forget(directory_t *d, guint source, gint64 now_us)
+directory_source_reset(directory_t *d, guint source, gint64 now_us)
 {
     GHashTableIter iter;
     gpointer value;
@@ -369,34 +372,34 @@
         endpoint_t *e = value;
         if (e->heard_by & 1u << source) {
             e->heard_by &= ~(1u << source);
-            e->trusted_until_us = now_us + TRUST_US;
+            e->trusted_until_us = now_us + LEASE_GRACE_US;
         }
     }
 }
 
 static gboolean
-left_is_old(gpointer key, gpointer value, gpointer now_us)
+departure_is_expired(gpointer key, gpointer value, gpointer now_us)
 {
     (void)key;
     const departure_t *departure = value;
-    return *(gint64 *)now_us - departure->at_us > REMEMBER_US;
+    return *(gint64 *)now_us - departure->at_us > DEPARTURE_RETENTION_US;
 }
 
 void
 directory_sweep(directory_t *d, gint64 now_us)
 {
-    for (guint i = d->gone->len; i > 0; i--) {
-        endpoint_t *e = d->gone->pdata[i - 1];
+    for (guint i = d->removed->len; i > 0; i--) {
+        endpoint_t *e = d->removed->pdata[i - 1];
         if (e->running > 0) {
             continue;
         }
         if (g_hash_table_lookup(d->by_id, e->id) == e) {
             g_hash_table_remove(d->by_id, e->id);
         }
-        g_ptr_array_remove_index_fast(d->gone, i - 1);
+        g_ptr_array_remove_index_fast(d->removed, i - 1);
         endpoint_free(d, e);
     }
-    g_hash_table_foreach_remove(d->left, left_is_old, &now_us);
+    g_hash_table_foreach_remove(d->departures, departure_is_expired, &now_us);
 }
 
 endpoint_t *
@@ -427,19 +430,20 @@
     }
 }
 
-start_state_t
-directory_start_state(const directory_t *d, const char *id, gint64 started_ms,
-                      const char *address)
+incarnation_state_t
+directory_incarnation_state(const directory_t *d, const char *id,
+                            gint64 started_ms, const char *address)
 {
     const endpoint_t *e = g_hash_table_lookup(d->by_id, id);
     const endpoint_t *there = g_hash_table_lookup(d->by_address, address);
     if (e != NULL && e->started_ms > started_ms) {
-        return START_REPLACED;
+        return INCARNATION_REPLACED;
     }
     if (e == NULL || e->draining || e->left) {
-        return START_LEAVES;
+        return INCARNATION_LEAVING;
     }
-    return there != NULL && there != e ? START_REPLACED : START_KNOWN;
+    return there != NULL && there != e ? INCARNATION_REPLACED
+                                       : INCARNATION_CURRENT;
 }
 
 guint
@@ -449,19 +453,19 @@
 }
 
 void
-directory_join(directory_t *d, endpoint_t *e, guint prompt_tokens,
-               guint waiting_tokens)
+directory_request_start(directory_t *d, endpoint_t *e, guint prompt_tokens,
+                        guint waiting_tokens)
 {
     endpoint_join(e, prompt_tokens, waiting_tokens);
-    g_hash_table_add(d->busy, e);
+    g_hash_table_add(d->active, e);
 }
 
 void
-directory_leave(directory_t *d, endpoint_t *e, guint prompt_tokens)
+directory_request_end(directory_t *d, endpoint_t *e, guint prompt_tokens)
 {
     endpoint_leave(e, prompt_tokens);
     if (e->running == 0) {
-        g_hash_table_remove(d->busy, e);
+        g_hash_table_remove(d->active, e);
     }
 }
 
@@ -477,8 +481,8 @@
     GHashTableIter iter;
     gpointer key;
     GArray *loads = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
-    g_hash_table_iter_init(&iter, d->busy);
-    d->visits += g_hash_table_size(d->busy);
+    g_hash_table_iter_init(&iter, d->active);
+    d->visits += g_hash_table_size(d->active);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const endpoint_t *e = key;
         endpoint_load_t load = {.endpoint = e->hash,
@@ -493,7 +497,7 @@
 }
 
 static endpoint_load_t
-load_in(GHashTable *index, guint64 endpoint)
+load_lookup(GHashTable *index, guint64 endpoint)
 {
     const endpoint_load_t *load = g_hash_table_lookup(index, &endpoint);
     return load != NULL ? *load : (endpoint_load_t){0};
@@ -502,7 +506,7 @@
 /* What of `sum` is not in `part`; a part told later than the sum may be
  * larger. */
 static endpoint_load_t
-load_less(endpoint_load_t sum, endpoint_load_t part)
+load_subtract(endpoint_load_t sum, endpoint_load_t part)
 {
     return (endpoint_load_t){
         .endpoint = sum.endpoint,
@@ -532,7 +536,7 @@
 
 /* The endpoint of a hash among those that have not left, or NULL. */
 static endpoint_t *
-find_hash(const directory_t *d, guint64 hash)
+endpoint_by_hash(const directory_t *d, guint64 hash)
 {
     GHashTableIter iter;
     gpointer value;
@@ -564,23 +568,24 @@
 }
 
 static void
-keep_early_limit(directory_t *d, const limit_state_t *state)
+pending_limit_store(directory_t *d, const limit_state_t *state)
 {
-    g_hash_table_remove(d->early, &state->endpoint);
-    if (state->limited && g_hash_table_size(d->early) < EARLY_LIMITS_MAX) {
+    g_hash_table_remove(d->pending_limits, &state->endpoint);
+    if (state->limited &&
+        g_hash_table_size(d->pending_limits) < PENDING_LIMITS_MAX) {
         limit_state_t *kept = g_memdup2(state, sizeof(*state));
-        g_hash_table_insert(d->early, &kept->endpoint, kept);
+        g_hash_table_insert(d->pending_limits, &kept->endpoint, kept);
     }
 }
 
 endpoint_t *
-directory_take_limit(directory_t *d, const limit_state_t *state,
-                     limit_change_t *change, gint64 now_us)
+directory_apply_limit(directory_t *d, const limit_state_t *state,
+                      limit_change_t *change, gint64 now_us)
 {
-    endpoint_t *e = find_hash(d, state->endpoint);
+    endpoint_t *e = endpoint_by_hash(d, state->endpoint);
     *change = LIMIT_UNCHANGED;
     if (e == NULL) {
-        keep_early_limit(d, state);
+        pending_limit_store(d, state);
     }
     else if (e->limit != NULL || state->limited) {
         *change = endpoint_limit_told(directory_limit(d, e), state, now_us);
@@ -590,29 +595,29 @@
 
 /* Nothing is known of the others' requests any more. */
 static void
-forget_told(directory_t *d)
+reported_loads_clear(directory_t *d)
 {
-    for (guint i = 0; i < d->told->len; i++) {
-        endpoint_t *e = d->told->pdata[i];
+    for (guint i = 0; i < d->reported->len; i++) {
+        endpoint_t *e = d->reported->pdata[i];
         e->others = (endpoint_load_t){0};
         e->told = FALSE;
     }
-    g_ptr_array_set_size(d->told, 0);
+    g_ptr_array_set_size(d->reported, 0);
 }
 
 void
-directory_take_loads(directory_t *d, const GArray *sums, const GArray *own)
+directory_apply_loads(directory_t *d, const GArray *sums, const GArray *own)
 {
     GHashTable *mine = loads_index(own);
-    d->visits += d->told->len + sums->len;
-    forget_told(d);
+    d->visits += d->reported->len + sums->len;
+    reported_loads_clear(d);
     for (guint i = 0; i < sums->len; i++) {
         const endpoint_load_t *sum = &g_array_index(sums, endpoint_load_t, i);
-        endpoint_t *e = find_hash(d, sum->endpoint);
+        endpoint_t *e = endpoint_by_hash(d, sum->endpoint);
         if (e != NULL && !e->told) {
-            e->others = load_less(*sum, load_in(mine, sum->endpoint));
+            e->others = load_subtract(*sum, load_lookup(mine, sum->endpoint));
             e->told = TRUE;
-            g_ptr_array_add(d->told, e);
+            g_ptr_array_add(d->reported, e);
         }
     }
     g_hash_table_unref(mine);
@@ -620,30 +625,30 @@
 
 /* A power of two. */
 static guint
-parts_most(const directory_t *d)
+endpoint_parts_max(const directory_t *d)
 {
-    guint share = PARTS_OF_ALL / MAX(directory_count(d), 1);
-    guint most = PARTS_MOST;
-    while (most > PARTS_LEAST && most > share) {
+    guint share = TOTAL_PARTS_MAX / MAX(directory_count(d), 1);
+    guint most = ENDPOINT_PARTS_MAX;
+    while (most > ENDPOINT_PARTS_MIN && most > share) {
         most /= 2;
     }
     return most;
 }
 
 void
-directory_note_part(directory_t *d, endpoint_t *e, guint64 part)
+directory_record_part(directory_t *d, endpoint_t *e, guint64 part)
 {
-    part_set_add(&e->parts, part, parts_most(d));
+    part_set_add(&e->parts, part, endpoint_parts_max(d));
 }
 
 void
-directory_take_parts(directory_t *d, const GArray *notes)
+directory_apply_parts(directory_t *d, const GArray *notes)
 {
     for (guint i = 0; i < notes->len; i++) {
         const part_note_t *note = &g_array_index(notes, part_note_t, i);
-        endpoint_t *e = find_hash(d, note->endpoint);
+        endpoint_t *e = endpoint_by_hash(d, note->endpoint);
         if (e != NULL) {
-            directory_note_part(d, e, note->part);
+            directory_record_part(d, e, note->part);
         }
     }
 }
@@ -651,8 +656,10 @@
 static void
 count_usable(directory_t *d, service_list_t *service, gint64 now_us)
 {
-    gint64 pause_us = service->list->len * (gint64)COUNT_US_AN_ENDPOINT;
-    if (service->counted_us != 0 && now_us - service->counted_us < pause_us) {
+    gint64 interval_us =
+        service->list->len * (gint64)RECOUNT_INTERVAL_PER_ENDPOINT_US;
+    if (service->counted_us != 0 &&
+        now_us - service->counted_us < interval_us) {
         return;
     }
     d->visits += service->list->len;
@@ -668,7 +675,7 @@
 
 /* Whether it counts as one of the service's. */
 static gboolean
-is_of(const endpoint_t *e, const char *service)
+is_in_service(const endpoint_t *e, const char *service)
 {
     return !e->left && strcmp(e->service, service) == 0;
 }
@@ -695,21 +702,21 @@
         return demand;
     }
     count_usable(d, service, now_us);
-    d->visits += d->told->len + g_hash_table_size(d->busy);
+    d->visits += d->reported->len + g_hash_table_size(d->active);
     demand.engines = service->usable;
     demand.slots = service->slots;
-    for (guint i = 0; i < d->told->len; i++) {
-        const endpoint_t *e = d->told->pdata[i];
-        if (is_of(e, name)) {
+    for (guint i = 0; i < d->reported->len; i++) {
+        const endpoint_t *e = d->reported->pdata[i];
+        if (is_in_service(e, name)) {
             demand_add(&demand, e);
         }
     }
     GHashTableIter iter;
     gpointer key;
-    g_hash_table_iter_init(&iter, d->busy);
+    g_hash_table_iter_init(&iter, d->active);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const endpoint_t *e = key;
-        if (!e->told && is_of(e, name)) {
+        if (!e->told && is_in_service(e, name)) {
             demand_add(&demand, e);
         }
     }
@@ -722,10 +729,10 @@
     GHashTableIter iter;
     gpointer key;
     guint running = 0;
-    g_hash_table_iter_init(&iter, d->busy);
+    g_hash_table_iter_init(&iter, d->active);
     while (g_hash_table_iter_next(&iter, &key, NULL)) {
         const endpoint_t *e = key;
-        running += is_of(e, name) ? e->running : 0;
+        running += is_in_service(e, name) ? e->running : 0;
     }
     return running;
 }
@@ -775,7 +782,7 @@
         engine_supply_t *s = supply_of(supplies, e);
         gboolean usable = endpoint_usable(e, now_us);
         s->slots = MAX(s->slots, e->slots);
-        s->kept += usable && !e->reclaimable;
+        s->on_demand += usable && !e->reclaimable;
         s->reclaimable += usable && e->reclaimable;
     }
     return supplies;
--- a/policy/duty_lease.c
+++ b/policy/duty_lease.c
@@ -8,26 +8,28 @@
     ARRIVAL_US = 40 * MS,
     /* An instance that acted longer ago than so many times `apart_us` can not
      * be the first of holder, other, holder. */
-    APART_TIMES = 4,
+    RECENT_CALL_FACTOR = 4,
 };
 
 void
-duty_lease_init(duty_lease_t *l, gint64 apart_us, gboolean first_start,
-                gint64 now_us)
+duty_lease_init(duty_lease_t *l, gint64 alternation_us,
+                gboolean first_incarnation, gint64 now_us)
 {
-    *l = (duty_lease_t){.apart_us = apart_us,
-                        .acted_us = first_start ? G_MININT64 : now_us};
+    *l = (duty_lease_t){.alternation_us = alternation_us,
+                        .last_call_us =
+                            first_incarnation ? G_MININT64 : now_us};
 }
 
 /* An instance that acted lately and lost the lease may find that another acted
  * in between: it waits until its own last call is far enough back, counted
  * from now since the other may have acted until a moment ago. */
 static gint64
-wait_of(const duty_lease_t *l, gint64 now_us)
+start_delay_us(const duty_lease_t *l, gint64 now_us)
 {
-    gboolean lately = l->acted_us != G_MININT64 &&
-                      now_us - l->acted_us < APART_TIMES * l->apart_us;
-    return lately ? l->apart_us : 0;
+    gboolean recent =
+        l->last_call_us != G_MININT64 &&
+        now_us - l->last_call_us < RECENT_CALL_FACTOR * l->alternation_us;
+    return recent ? l->alternation_us : 0;
 }
 
 gboolean
@@ -37,7 +39,7 @@
     guint64 token = leads && until_us > now_us ? term : 0;
     gboolean changed = token != l->token;
     if (token != 0 && changed) {
-        l->from_us = now_us + wait_of(l, now_us);
+        l->valid_from_us = now_us + start_delay_us(l, now_us);
     }
     l->token = token;
     l->until_us = until_us;
@@ -45,18 +47,19 @@
 }
 
 guint64
-duty_lease_holds(const duty_lease_t *l, gint64 now_us)
+duty_lease_token(const duty_lease_t *l, gint64 now_us)
 {
-    gboolean holds = now_us >= l->from_us && now_us < l->until_us - ARRIVAL_US;
+    gboolean holds =
+        now_us >= l->valid_from_us && now_us < l->until_us - ARRIVAL_US;
     return holds ? l->token : 0;
 }
 
 guint64
-duty_lease_act(duty_lease_t *l, gint64 now_us)
+duty_lease_authorize_call(duty_lease_t *l, gint64 now_us)
 {
-    guint64 token = duty_lease_holds(l, now_us);
+    guint64 token = duty_lease_token(l, now_us);
     if (token != 0) {
-        l->acted_us = now_us;
+        l->last_call_us = now_us;
     }
     return token;
 }
--- a/policy/registry.c
+++ b/policy/registry.c
@@ -152,8 +152,8 @@
             g_hash_table_iter_remove(&iter);
         }
         else if (age > r->silent_us && item->lease.state != LEASE_LEFT &&
-                 item->lease.state != LEASE_SILENT) {
-            item->lease.state = LEASE_SILENT;
+                 item->lease.state != LEASE_EXPIRED) {
+            item->lease.state = LEASE_EXPIRED;
             note_change(r, item);
             changed = TRUE;
         }
--- a/policy/site_clock.c
+++ b/policy/site_clock.c
@@ -3,49 +3,51 @@
 enum {
     /* What was heard longer ago is left out: six words, so that a clock that
      * was set is taken as it is now. */
-    FRESH_US = 3 * G_USEC_PER_SEC,
+    SAMPLE_MAX_AGE_US = 3 * G_USEC_PER_SEC,
 };
 
 /* A clock as it was heard. */
 typedef struct {
-    gint64 ahead_us; /* its time of day less `now_us` */
-    gint64 heard_us;
-} heard_clock_t;
+    gint64 offset_us; /* its time of day less `now_us` */
+    gint64 sampled_us;
+} clock_sample_t;
 
 struct site_clock {
-    GHashTable *heard; /* instance -> heard_clock_t */
+    GHashTable *samples; /* instance -> heard_clock_t */
 };
 
 site_clock_t *
 site_clock_create(void)
 {
     site_clock_t *c = g_new0(site_clock_t, 1);
-    c->heard = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    c->samples =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return c;
 }
 
 void
 site_clock_destroy(site_clock_t *c)
 {
-    g_hash_table_unref(c->heard);
+    g_hash_table_unref(c->samples);
     g_free(c);
 }
 
 void
-site_clock_note(site_clock_t *c, const char *instance, gint64 wall_us,
-                gint64 now_us)
+site_clock_record(site_clock_t *c, const char *instance, gint64 wall_us,
+                  gint64 now_us)
 {
-    heard_clock_t clock = {.ahead_us = wall_us - now_us, .heard_us = now_us};
-    g_hash_table_replace(c->heard, g_strdup(instance),
-                         g_memdup2(&clock, sizeof(clock)));
+    clock_sample_t sample = {.offset_us = wall_us - now_us,
+                             .sampled_us = now_us};
+    g_hash_table_replace(c->samples, g_strdup(instance),
+                         g_memdup2(&sample, sizeof(sample)));
 }
 
 static gboolean
-is_old(gpointer key, gpointer value, gpointer now_us)
+is_expired(gpointer key, gpointer value, gpointer now_us)
 {
     (void)key;
-    const heard_clock_t *clock = value;
-    return *(gint64 *)now_us - clock->heard_us > FRESH_US;
+    const clock_sample_t *sample = value;
+    return *(gint64 *)now_us - sample->sampled_us > SAMPLE_MAX_AGE_US;
 }
 
 static gint
@@ -62,12 +64,12 @@
     GHashTableIter iter;
     gpointer value;
     gint64 own = own_wall_us - now_us;
-    g_hash_table_foreach_remove(c->heard, is_old, &now_us);
+    g_hash_table_foreach_remove(c->samples, is_expired, &now_us);
     GArray *all = g_array_new(FALSE, FALSE, sizeof(gint64));
     g_array_append_val(all, own);
-    g_hash_table_iter_init(&iter, c->heard);
+    g_hash_table_iter_init(&iter, c->samples);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        g_array_append_val(all, ((heard_clock_t *)value)->ahead_us);
+        g_array_append_val(all, ((clock_sample_t *)value)->offset_us);
     }
     g_array_sort(all, by_value);
     /* Of an even number the lower one: a mean of the two in the middle would
@@ -80,5 +82,5 @@
 guint
 site_clock_count(const site_clock_t *c)
 {
-    return g_hash_table_size(c->heard) + 1;
+    return g_hash_table_size(c->samples) + 1;
 }
--- a/policy/usage_book.c
+++ b/policy/usage_book.c
@@ -4,78 +4,80 @@
     MS = 1000,
     /* After a window's end, for the last reports of it: entry instances tell
      * several times a second, some twice a second where there are hundreds. */
-    SETTLE_US = 1500 * MS,
+    WINDOW_SETTLE_US = 1500 * MS,
     /* After this instance came to lead, for every entry instance to find it
      * and tell what it counted. */
-    GATHER_US = 2500 * MS,
+    LEADER_SETTLE_US = 2500 * MS,
     /* But a window is fixed so long before it is due, whoever has told by
      * then. */
-    MARGIN_US = 2500 * MS,
+    DUE_MARGIN_US = 2500 * MS,
     INCARNATIONS_MAX = 4096,
 };
 
 /* One start of an entry instance. */
 typedef struct {
     usage_tally_t *tally;
-    gint64 heard_us; /* its last report, by wall_us; 0: none */
-} teller_t;
+    gint64 reported_us; /* its last report, by wall_us; 0: none */
+} reporter_t;
 
 struct usage_book {
-    GHashTable *tellers; /* incarnation -> teller_t */
-    gint64 began_us;     /* it leads since then */
+    GHashTable *reporters;  /* incarnation -> teller_t */
+    gint64 leader_since_us; /* it leads since then */
 };
 
 static void
-teller_free(gpointer data)
+reporter_free(gpointer data)
 {
-    teller_t *teller = data;
-    usage_tally_destroy(teller->tally);
-    g_free(teller);
+    reporter_t *reporter = data;
+    usage_tally_destroy(reporter->tally);
+    g_free(reporter);
 }
 
 usage_book_t *
 usage_book_create(void)
 {
     usage_book_t *b = g_new0(usage_book_t, 1);
-    b->tellers = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-                                       teller_free);
+    b->reporters = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+                                         reporter_free);
     return b;
 }
 
 void
 usage_book_destroy(usage_book_t *b)
 {
-    g_hash_table_unref(b->tellers);
+    g_hash_table_unref(b->reporters);
     g_free(b);
 }
 
 void
-usage_book_begin(usage_book_t *b, gint64 wall_us)
+usage_book_start_term(usage_book_t *b, gint64 wall_us)
 {
-    g_hash_table_remove_all(b->tellers);
-    b->began_us = wall_us;
+    g_hash_table_remove_all(b->reporters);
+    b->leader_since_us = wall_us;
 }
 
 /* Made when missing; NULL beyond the bound. */
-static teller_t *
-teller_of(usage_book_t *b, guint64 incarnation)
+static reporter_t *
+reporter_find(usage_book_t *b, guint64 incarnation)
 {
-    teller_t *teller = g_hash_table_lookup(b->tellers, &incarnation);
-    if (teller == NULL && g_hash_table_size(b->tellers) < INCARNATIONS_MAX) {
-        teller = g_new0(teller_t, 1);
-        teller->tally = usage_tally_create();
-        g_hash_table_insert(
-            b->tellers, g_memdup2(&incarnation, sizeof(incarnation)), teller);
+    reporter_t *reporter = g_hash_table_lookup(b->reporters, &incarnation);
+    if (reporter == NULL &&
+        g_hash_table_size(b->reporters) < INCARNATIONS_MAX) {
+        reporter = g_new0(reporter_t, 1);
+        reporter->tally = usage_tally_create();
+        g_hash_table_insert(b->reporters,
+                            g_memdup2(&incarnation, sizeof(incarnation)),
+                            reporter);
     }
-    return teller;
+    return reporter;
 }
 
 void
-usage_book_heard(usage_book_t *b, guint64 incarnation, gint64 wall_us)
+usage_book_record_contact(usage_book_t *b, guint64 incarnation, gint64 wall_us)
 {
-    teller_t *teller = teller_of(b, incarnation);
-    if (teller != NULL) {
-        teller->heard_us = wall_us;
+    reporter_t *reporter = reporter_find(b, incarnation);
+    if (reporter != NULL) {
+        reporter->reported_us = wall_us;
     }
 }
 
@@ -83,14 +85,14 @@
 usage_book_report(usage_book_t *b, guint64 incarnation,
                   const usage_window_t *window)
 {
-    teller_t *teller = teller_of(b, incarnation);
-    if (teller == NULL) {
+    reporter_t *reporter = reporter_find(b, incarnation);
+    if (reporter == NULL) {
         return;
     }
     for (guint i = 0; i < window->counts->len; i++) {
         const usage_count_t *c =
             &g_array_index(window->counts, usage_count_t, i);
-        usage_tally_raise(teller->tally, window->window, c->team, c->count);
+        usage_tally_raise(reporter->tally, window->window, c->team, c->count);
     }
 }
 
@@ -101,13 +103,13 @@
     usage_tally_t *sums = usage_tally_create();
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->tellers);
+    g_hash_table_iter_init(&iter, b->reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        const teller_t *teller = value;
-        GPtrArray *windows = usage_tally_windows(teller->tally);
+        const reporter_t *reporter = value;
+        GPtrArray *windows = usage_tally_windows(reporter->tally);
         for (guint i = 0; i < windows->len; i++) {
             const usage_window_t *w = windows->pdata[i];
-            usage_tally_add_window(sums, teller->tally, w->window);
+            usage_tally_add_window(sums, reporter->tally, w->window);
         }
         g_ptr_array_unref(windows);
     }
@@ -115,7 +117,7 @@
 }
 
 GPtrArray *
-usage_book_open(const usage_book_t *b)
+usage_book_pending(const usage_book_t *b)
 {
     usage_tally_t *sums = sums_of(b);
     GPtrArray *windows = usage_tally_windows(sums);
@@ -124,32 +126,33 @@
 }
 
 static void
-drop_fixed(usage_book_t *b, guint64 fixed_through)
+drop_finalized(usage_book_t *b, guint64 finalized_through)
 {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->tellers);
+    g_hash_table_iter_init(&iter, b->reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        usage_tally_drop_through(((teller_t *)value)->tally, fixed_through);
+        usage_tally_drop_through(((reporter_t *)value)->tally,
+                                 finalized_through);
     }
 }
 
 /* The window after the last fixed one; the first that has a count where none
  * is fixed. FALSE when there is none. */
 static gboolean
-next_window(const usage_book_t *b, guint64 fixed_through, guint64 *window)
+next_window(const usage_book_t *b, guint64 finalized_through, guint64 *window)
 {
-    if (fixed_through != 0) {
-        *window = fixed_through + 1;
+    if (finalized_through != 0) {
+        *window = finalized_through + 1;
         return TRUE;
     }
     GHashTableIter iter;
     gpointer value;
     gboolean any = FALSE;
-    g_hash_table_iter_init(&iter, b->tellers);
+    g_hash_table_iter_init(&iter, b->reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         guint64 first;
-        if (usage_tally_first(((teller_t *)value)->tally, &first)) {
+        if (usage_tally_first(((reporter_t *)value)->tally, &first)) {
             *window = any ? MIN(*window, first) : first;
             any = TRUE;
         }
@@ -160,30 +163,30 @@
 /* After an outage of more windows than are kept, those that nobody can know
  * of are passed over. */
 static guint64
-skip_unknown(const usage_book_t *b, const usage_times_t *times,
-             guint64 fixed_through, guint64 window, gint64 wall_us)
+skip_unreported(const usage_book_t *b, const usage_schedule_t *schedule,
+                guint64 finalized_through, guint64 window, gint64 wall_us)
 {
-    guint64 now = (guint64)(wall_us / times->window_us);
-    guint64 known = window;
-    if (fixed_through != 0 && now > window + USAGE_WINDOWS_MAX) {
-        gboolean any = next_window(b, 0, &known);
-        known = any ? MAX(known, window) : now - USAGE_WINDOWS_MAX;
+    guint64 now = (guint64)(wall_us / schedule->window_us);
+    guint64 next = window;
+    if (finalized_through != 0 && now > window + USAGE_WINDOWS_MAX) {
+        gboolean any = next_window(b, 0, &next);
+        next = any ? MAX(next, window) : now - USAGE_WINDOWS_MAX;
     }
-    return known;
+    return next;
 }
 
 /* Whether an entry instance told something in this window or the one before,
  * and nothing since the window's end: it is cut off, or has ended. Its callers
  * were served meanwhile, and it tells of them when it is back. */
 static gboolean
-is_awaited(const usage_book_t *b, gint64 end_us, gint64 window_us)
+has_overdue_reporter(const usage_book_t *b, gint64 end_us, gint64 window_us)
 {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->tellers);
+    g_hash_table_iter_init(&iter, b->reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        gint64 heard_us = ((teller_t *)value)->heard_us;
-        if (heard_us >= end_us - 2 * window_us && heard_us < end_us) {
+        gint64 reported_us = ((reporter_t *)value)->reported_us;
+        if (reported_us >= end_us - 2 * window_us && reported_us < end_us) {
             return TRUE;
         }
     }
@@ -192,35 +195,39 @@
 
 /* When a window can be fixed. */
 static gint64
-fixed_at(const usage_book_t *b, const usage_times_t *times, guint64 window)
+finalize_time_us(const usage_book_t *b, const usage_schedule_t *schedule,
+                 guint64 window)
 {
-    gint64 end_us = (gint64)(window + 1) * times->window_us;
-    gint64 latest_us = end_us + MAX(times->due_us - MARGIN_US, SETTLE_US);
-    if (is_awaited(b, end_us, times->window_us)) {
+    gint64 end_us = (gint64)(window + 1) * schedule->window_us;
+    gint64 latest_us =
+        end_us + MAX(schedule->due_us - DUE_MARGIN_US, WINDOW_SETTLE_US);
+    if (has_overdue_reporter(b, end_us, schedule->window_us)) {
         return latest_us;
     }
-    return MIN(MAX(end_us + SETTLE_US, b->began_us + GATHER_US), latest_us);
+    return MIN(
+        MAX(end_us + WINDOW_SETTLE_US, b->leader_since_us + LEADER_SETTLE_US),
+        latest_us);
 }
 
 usage_window_t *
-usage_book_due(usage_book_t *b, const usage_times_t *times,
-               guint64 fixed_through, gint64 wall_us)
+usage_book_next_final(usage_book_t *b, const usage_schedule_t *schedule,
+                      guint64 finalized_through, gint64 wall_us)
 {
     guint64 window;
-    drop_fixed(b, fixed_through);
-    if (!next_window(b, fixed_through, &window)) {
+    drop_finalized(b, finalized_through);
+    if (!next_window(b, finalized_through, &window)) {
         return NULL;
     }
-    window = skip_unknown(b, times, fixed_through, window, wall_us);
-    if (wall_us < fixed_at(b, times, window)) {
+    window = skip_unreported(b, schedule, finalized_through, window, wall_us);
+    if (wall_us < finalize_time_us(b, schedule, window)) {
         return NULL;
     }
     usage_tally_t *sums = usage_tally_create();
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, b->tellers);
+    g_hash_table_iter_init(&iter, b->reporters);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        usage_tally_add_window(sums, ((teller_t *)value)->tally, window);
+        usage_tally_add_window(sums, ((reporter_t *)value)->tally, window);
     }
     usage_window_t *figures = usage_tally_window(sums, window);
     usage_tally_destroy(sums);
--- a/policy/usage_ledger.c
+++ b/policy/usage_ledger.c
@@ -1,22 +1,22 @@
 #include "carobloom/policy/usage_ledger.h"
 
 struct usage_ledger {
-    GArray *windows; /* fixed_window_t, in order */
-    guint64 fixed_through;
+    GArray *windows; /* finalized_window_t, in order */
+    guint64 finalized_through;
 };
 
 static void
-fixed_clear(gpointer data)
+finalized_clear(gpointer data)
 {
-    usage_window_free(((fixed_window_t *)data)->figures);
+    usage_window_free(((finalized_window_t *)data)->figures);
 }
 
 usage_ledger_t *
 usage_ledger_create(void)
 {
     usage_ledger_t *l = g_new0(usage_ledger_t, 1);
-    l->windows = g_array_new(FALSE, FALSE, sizeof(fixed_window_t));
-    g_array_set_clear_func(l->windows, fixed_clear);
+    l->windows = g_array_new(FALSE, FALSE, sizeof(finalized_window_t));
+    g_array_set_clear_func(l->windows, finalized_clear);
     return l;
 }
 
@@ -28,9 +28,9 @@
 }
 
 gboolean
-usage_ledger_fix(usage_ledger_t *l, usage_window_t *figures)
+usage_ledger_finalize(usage_ledger_t *l, usage_window_t *figures)
 {
-    if (l->fixed_through != 0 && figures->window <= l->fixed_through) {
+    if (l->finalized_through != 0 && figures->window <= l->finalized_through) {
         usage_window_free(figures);
         return FALSE;
     }
@@ -40,39 +40,40 @@
 
 void
 usage_ledger_restore(usage_ledger_t *l, usage_window_t *figures,
-                     gboolean taken)
+                     gboolean accepted)
 {
-    fixed_window_t fixed = {.figures = figures, .taken = taken};
-    l->fixed_through = MAX(l->fixed_through, figures->window);
-    g_array_append_val(l->windows, fixed);
+    finalized_window_t finalized = {.figures = figures, .accepted = accepted};
+    l->finalized_through = MAX(l->finalized_through, figures->window);
+    g_array_append_val(l->windows, finalized);
     if (l->windows->len > USAGE_WINDOWS_MAX) {
         g_array_remove_index(l->windows, 0);
     }
 }
 
 void
-usage_ledger_take(usage_ledger_t *l, guint64 window)
+usage_ledger_mark_accepted(usage_ledger_t *l, guint64 window)
 {
     for (guint i = 0; i < l->windows->len; i++) {
-        fixed_window_t *fixed = &g_array_index(l->windows, fixed_window_t, i);
-        fixed->taken |= fixed->figures->window == window;
+        finalized_window_t *finalized =
+            &g_array_index(l->windows, finalized_window_t, i);
+        finalized->accepted |= finalized->figures->window == window;
     }
 }
 
 guint64
-usage_ledger_fixed_through(const usage_ledger_t *l)
+usage_ledger_finalized_through(const usage_ledger_t *l)
 {
-    return l->fixed_through;
+    return l->finalized_through;
 }
 
 const usage_window_t *
-usage_ledger_untold(const usage_ledger_t *l, guint64 after)
+usage_ledger_next_unaccepted(const usage_ledger_t *l, guint64 after)
 {
     for (guint i = 0; i < l->windows->len; i++) {
-        const fixed_window_t *fixed =
-            &g_array_index(l->windows, fixed_window_t, i);
-        if (!fixed->taken && fixed->figures->window > after) {
-            return fixed->figures;
+        const finalized_window_t *finalized =
+            &g_array_index(l->windows, finalized_window_t, i);
+        if (!finalized->accepted && finalized->figures->window > after) {
+            return finalized->figures;
         }
     }
     return NULL;
--- a/policy/usage_tally.c
+++ b/policy/usage_tally.c
@@ -47,22 +47,22 @@
 usage_tally_add(usage_tally_t *t, guint64 window, const char *team,
                 guint64 count)
 {
-    guint64 *place = count_at(t, window, team);
-    if (place != NULL) {
-        *place += count;
+    guint64 *entry = count_at(t, window, team);
+    if (entry != NULL) {
+        *entry += count;
     }
-    return place != NULL;
+    return entry != NULL;
 }
 
 gboolean
 usage_tally_raise(usage_tally_t *t, guint64 window, const char *team,
                   guint64 count)
 {
-    guint64 *place = count_at(t, window, team);
-    if (place != NULL) {
-        *place = MAX(*place, count);
+    guint64 *entry = count_at(t, window, team);
+    if (entry != NULL) {
+        *entry = MAX(*entry, count);
     }
-    return place != NULL;
+    return entry != NULL;
 }
 
 void
@@ -83,7 +83,7 @@
 }
 
 static gboolean
-is_through(gpointer key, gpointer value, gpointer window)
+is_at_or_before(gpointer key, gpointer value, gpointer window)
 {
     (void)value;
     return *(guint64 *)key <= *(guint64 *)window;
@@ -92,7 +92,7 @@
 void
 usage_tally_drop_through(usage_tally_t *t, guint64 window)
 {
-    g_hash_table_foreach_remove(t->windows, is_through, &window);
+    g_hash_table_foreach_remove(t->windows, is_at_or_before, &window);
 }
 
 static gint
@@ -177,8 +177,8 @@
 void
 usage_window_add(usage_window_t *w, const char *team, guint64 count)
 {
-    usage_count_t entry = {.team = g_strdup(team), .count = count};
-    g_array_append_val(w->counts, entry);
+    usage_count_t item = {.team = g_strdup(team), .count = count};
+    g_array_append_val(w->counts, item);
 }
 
 void
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -21,7 +21,7 @@
                            .turned_away = arrived / 10,
                            .read_tokens = arrived * 100,
                            .tokens_a_ms = 60};
-    capacity_demand_note(demand, incarnation, &work, now_us);
+    capacity_demand_record(demand, incarnation, &work, now_us);
 }
 
 /* Rates follow what is told within seconds, whoever starts again or ends. */
@@ -33,7 +33,7 @@
         note(demand, 1, 1000 + 5 * i, i * 250 * (gint64)MS);
         note(demand, 2, 10 * i, i * 250 * (gint64)MS);
     }
-    service_demand_t d = capacity_demand_of(demand, "s", 5 * SECOND);
+    service_demand_t d = capacity_demand_sum(demand, "s", 5 * SECOND);
     CU_ASSERT_EQUAL(d.reporters, 2);
     CU_ASSERT_EQUAL(d.running, 8);
     CU_ASSERT(fabs(d.arrived - 60) < 2);
@@ -41,37 +41,39 @@
     CU_ASSERT(fabs(d.read_tokens - 6000) < 200);
     CU_ASSERT_EQUAL(d.tokens_a_ms, 60);
     note(demand, 3, 70, 5 * SECOND + MS); /* started again: no rate yet */
-    d = capacity_demand_of(demand, "s", 5 * SECOND + MS);
+    d = capacity_demand_sum(demand, "s", 5 * SECOND + MS);
     CU_ASSERT(fabs(d.arrived - 60) < 2);
-    d = capacity_demand_of(demand, "s", 9 * SECOND);
+    d = capacity_demand_sum(demand, "s", 9 * SECOND);
     CU_ASSERT_EQUAL(d.reporters, 0);
     capacity_demand_expire(demand, 9 * SECOND);
-    CU_ASSERT_EQUAL(capacity_demand_of(demand, "other", 0).reporters, 0);
+    CU_ASSERT_EQUAL(capacity_demand_sum(demand, "other", 0).reporters, 0);
     capacity_demand_destroy(demand);
 }
 
 /* ---- the plan ---- */
 
 static void
-places_init(capacity_place_t *places, guint kept)
+places_init(capacity_data_centre_t *places, guint kept)
 {
     static char *const NAMES[PLACES] = {"a", "b", "c"};
     static const double PRICES[PLACES] = {1.0, 0.8, 1.25};
     for (guint i = 0; i < PLACES; i++) {
-        places[i] = (capacity_place_t){.name = NAMES[i], .price = PRICES[i]};
-        places[i].ready[ENGINES_KEPT] = kept;
-        places[i].ordered[ENGINES_KEPT] = kept;
+        places[i] =
+            (capacity_data_centre_t){.name = NAMES[i], .price = PRICES[i]};
+        places[i].ready[ENGINES_ON_DEMAND] = kept;
+        places[i].ordered[ENGINES_ON_DEMAND] = kept;
     }
 }
 
-static const capacity_bounds_t BOUNDS = {.least = 1,
-                                         .most = 60,
-                                         .floor = 1,
+static const capacity_bounds_t BOUNDS = {.min_per_data_centre = 1,
+                                         .max_per_data_centre = 60,
+                                         .min_total = 1,
                                          .reclaimable_price = 0.22,
-                                         .reclaimable_part = 1};
+                                         .reclaimable_fraction = 1};
 
 static guint
-wanted_of(const capacity_place_t *places, guint count, supply_kind_t kind)
+wanted_of(const capacity_data_centre_t *places, guint count,
+          supply_kind_t kind)
 {
     guint sum = 0;
     for (guint i = 0; i < count; i++) {
@@ -93,7 +95,7 @@
 typedef struct {
     const char *name;
     double reclaimable_price;
-    double reclaimable_part;
+    double reclaimable_fraction;
     guint places;
     guint ceiling;
     double running;
@@ -119,19 +121,19 @@
 plan_case(const plan_case_t *c)
 {
     capacity_plan_t plan;
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     capacity_bounds_t bounds = BOUNDS;
     bounds.reclaimable_price = c->reclaimable_price;
-    bounds.reclaimable_part = c->reclaimable_part;
-    bounds.ceiling = c->ceiling;
+    bounds.reclaimable_fraction = c->reclaimable_fraction;
+    bounds.max_total = c->ceiling;
     service_demand_t demand = demand_of(c->running, c->running / 2);
     places_init(places, 10);
-    capacity_plan_init(&plan, capacity_way_find("model"));
+    capacity_plan_init(&plan, capacity_estimator_find("model"));
     for (gint64 s = 0; s < 180; s++) {
         capacity_plan_update(&plan, &bounds, &demand, SLOTS, places, c->places,
                              s * SECOND);
     }
-    guint kept = wanted_of(places, c->places, ENGINES_KEPT);
+    guint kept = wanted_of(places, c->places, ENGINES_ON_DEMAND);
     guint cheap = wanted_of(places, c->places, ENGINES_RECLAIMABLE);
     if (kept < c->kept_least || kept > c->kept_most ||
         cheap < c->cheap_least || cheap > c->cheap_most) {
@@ -146,7 +148,7 @@
     for (gsize i = 0; i < G_N_ELEMENTS(PLAN_CASES); i++) {
         plan_case(&PLAN_CASES[i]);
     }
-    CU_ASSERT_PTR_NULL(capacity_way_find("none"));
+    CU_ASSERT_PTR_NULL(capacity_estimator_find("none"));
 }
 
 /* Before anything is known the cheap ones stand ready; where there are none,
@@ -155,17 +157,17 @@
 test_unknown(void)
 {
     capacity_plan_t plan;
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     capacity_bounds_t bounds = BOUNDS;
     service_demand_t none = {0};
     places_init(places, 30);
-    capacity_plan_init(&plan, capacity_way_find("model"));
+    capacity_plan_init(&plan, capacity_estimator_find("model"));
     capacity_plan_update(&plan, &bounds, &none, SLOTS, places, PLACES, 0);
     CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_RECLAIMABLE), 180);
     bounds.reclaimable_price = 0;
     places_init(places, 30);
     capacity_plan_update(&plan, &bounds, &none, SLOTS, places, PLACES, 0);
-    CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_KEPT), 90);
+    CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_ON_DEMAND), 90);
 }
 
 /* A holder that begins in the middle of the day keeps what stands for a while,
@@ -174,14 +176,14 @@
 test_new_holder(void)
 {
     capacity_plan_t plan;
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     service_demand_t demand = demand_of(300, 150);
     places_init(places, 0);
     for (guint i = 0; i < PLACES; i++) {
         places[i].ready[ENGINES_RECLAIMABLE] = 25;
         places[i].ordered[ENGINES_RECLAIMABLE] = 25;
     }
-    capacity_plan_init(&plan, capacity_way_find("model"));
+    capacity_plan_init(&plan, capacity_estimator_find("model"));
     for (gint64 s = 1; s < 15; s++) {
         capacity_plan_update(&plan, &BOUNDS, &demand, SLOTS, places, PLACES,
                              s * SECOND);
@@ -196,11 +198,11 @@
 test_no_swing(void)
 {
     capacity_plan_t plan;
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     guint least = G_MAXUINT;
     guint most = 0;
     places_init(places, 0);
-    capacity_plan_init(&plan, capacity_way_find("model"));
+    capacity_plan_init(&plan, capacity_estimator_find("model"));
     for (gint64 ms = 0; ms < 120 * 1000; ms += 200) {
         gboolean high = ms / 5000 % 2 == 1;
         service_demand_t demand = demand_of(high ? 400 : 80, high ? 200 : 40);
@@ -226,9 +228,9 @@
     guint total[G_N_ELEMENTS(HIGH)];
     for (gsize i = 0; i < G_N_ELEMENTS(HIGH); i++) {
         capacity_plan_t plan;
-        capacity_place_t places[PLACES];
+        capacity_data_centre_t places[PLACES];
         places_init(places, 0);
-        capacity_plan_init(&plan, capacity_way_find("model"));
+        capacity_plan_init(&plan, capacity_estimator_find("model"));
         for (gint64 s = 0; s < HIGH_S + AFTER_S; s++) {
             double running = s < HIGH_S ? HIGH[i] : LOW;
             service_demand_t demand = demand_of(running, running / 2);
@@ -247,28 +249,28 @@
 test_lacking(void)
 {
     capacity_plan_t plan;
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     service_demand_t demand = demand_of(700, 350);
     places_init(places, 0);
-    capacity_plan_init(&plan, capacity_way_find("model"));
+    capacity_plan_init(&plan, capacity_estimator_find("model"));
     for (gint64 s = 0; s < 30; s++) {
         capacity_plan_update(&plan, &BOUNDS, &demand, SLOTS, places, PLACES,
                              s * SECOND);
     }
     guint before = plan.total;
     CU_ASSERT(before > 90 && before < 120);
-    places[1].lacking_us = 40 * SECOND;
+    places[1].unavailable_until_us = 40 * SECOND;
     capacity_plan_update(&plan, &BOUNDS, &demand, SLOTS, places, PLACES,
                          30 * SECOND);
     CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_RECLAIMABLE), before);
-    CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_KEPT), 0);
+    CU_ASSERT_EQUAL(wanted_of(places, PLACES, ENGINES_ON_DEMAND), 0);
     for (guint i = 0; i < PLACES; i++) {
-        places[i].lacking_us = 40 * SECOND;
+        places[i].unavailable_until_us = 40 * SECOND;
     }
     capacity_plan_update(&plan, &BOUNDS, &demand, SLOTS, places, PLACES,
                          31 * SECOND);
     /* As many as most requests are still served by. */
-    guint kept = wanted_of(places, PLACES, ENGINES_KEPT);
+    guint kept = wanted_of(places, PLACES, ENGINES_ON_DEMAND);
     CU_ASSERT(kept >= plan.needed / 3 && kept <= plan.needed / 2);
 }
 
@@ -284,18 +286,19 @@
     GRand *random = g_rand_new_with_seed(11);
     for (int i = 0; i < TRIES; i++) {
         guint kept = (guint)g_rand_int_range(random, 0, MOST + 1);
-        capacity_place_t p = {.name = "a", .price = 1};
-        p.ready[ENGINES_KEPT] = p.ordered[ENGINES_KEPT] = kept;
+        capacity_data_centre_t p = {.name = "a", .price = 1};
+        p.ready[ENGINES_ON_DEMAND] = p.ordered[ENGINES_ON_DEMAND] = kept;
         p.wanted[ENGINES_RECLAIMABLE] =
             (guint)g_rand_int_range(random, 0, MOST + 1);
-        p.wanted[ENGINES_KEPT] = (guint)g_rand_int_range(
+        p.wanted[ENGINES_ON_DEMAND] = (guint)g_rand_int_range(
             random, 0, (gint)(MOST - p.wanted[ENGINES_RECLAIMABLE] + 1));
-        guint wanted = p.wanted[ENGINES_KEPT] + p.wanted[ENGINES_RECLAIMABLE];
+        guint wanted =
+            p.wanted[ENGINES_ON_DEMAND] + p.wanted[ENGINES_RECLAIMABLE];
         for (int round = 0; round < ROUNDS; round++) {
             supply_kind_t kind =
                 (supply_kind_t)g_rand_int_range(random, 0, ENGINES_KINDS);
             p.ordered[kind] = capacity_next_order(&p, kind, MOST);
-            CU_ASSERT(p.ordered[ENGINES_KEPT] +
+            CU_ASSERT(p.ordered[ENGINES_ON_DEMAND] +
                           p.ordered[ENGINES_RECLAIMABLE] <=
                       MOST);
             if (g_rand_boolean(random)) {
@@ -304,8 +307,8 @@
             else { /* those that are let go leave at once */
                 p.ready[kind] = MIN(p.ready[kind], p.ordered[kind]);
             }
-            CU_ASSERT(p.ready[ENGINES_KEPT] + p.ready[ENGINES_RECLAIMABLE] +
-                          1 >=
+            CU_ASSERT(p.ready[ENGINES_ON_DEMAND] +
+                          p.ready[ENGINES_RECLAIMABLE] + 1 >=
                       MIN(kept / 2, wanted / 2));
         }
         for (int round = 0; round < ROUNDS; round++) {
@@ -313,7 +316,8 @@
             p.ordered[kind] = capacity_next_order(&p, kind, MOST);
             p.ready[kind] = p.ordered[kind];
         }
-        CU_ASSERT_EQUAL(p.ordered[ENGINES_KEPT], p.wanted[ENGINES_KEPT]);
+        CU_ASSERT_EQUAL(p.ordered[ENGINES_ON_DEMAND],
+                        p.wanted[ENGINES_ON_DEMAND]);
         CU_ASSERT_EQUAL(p.ordered[ENGINES_RECLAIMABLE],
                         p.wanted[ENGINES_RECLAIMABLE]);
     }
@@ -327,12 +331,12 @@
 {
     enum { MOST = 60, KEPT = 30 };
     for (int idle = 0; idle < 2; idle++) {
-        capacity_place_t p = {.name = "a", .price = 1, .idle = idle};
-        p.ready[ENGINES_KEPT] = p.ordered[ENGINES_KEPT] = KEPT;
+        capacity_data_centre_t p = {.name = "a", .price = 1, .idle = idle};
+        p.ready[ENGINES_ON_DEMAND] = p.ordered[ENGINES_ON_DEMAND] = KEPT;
         p.wanted[ENGINES_RECLAIMABLE] = MOST;
-        guint kept = capacity_next_order(&p, ENGINES_KEPT, MOST);
+        guint kept = capacity_next_order(&p, ENGINES_ON_DEMAND, MOST);
         CU_ASSERT_EQUAL(kept, idle ? MOST / 8 : KEPT);
-        p.ordered[ENGINES_KEPT] = kept;
+        p.ordered[ENGINES_ON_DEMAND] = kept;
         CU_ASSERT_EQUAL(capacity_next_order(&p, ENGINES_RECLAIMABLE, MOST),
                         MOST - kept);
     }
@@ -393,7 +397,7 @@
 typedef struct {
     play_engine_t engines[PLAY_ENGINES];
     GPtrArray *jobs; /* play_job_t */
-    capacity_place_t places[PLACES];
+    capacity_data_centre_t places[PLACES];
     capacity_demand_t *demand;
     service_work_t work;
     GRand *random;
@@ -500,7 +504,7 @@
 }
 
 static guint
-place_index(const capacity_place_t *place)
+place_index(const capacity_data_centre_t *place)
 {
     return (guint)(place->name[0] - 'a');
 }
@@ -508,18 +512,19 @@
 static void
 play_plan(play_t *p, capacity_plan_t *plan, const play_case_t *c, gint64 ms)
 {
-    static const capacity_bounds_t PLAY_BOUNDS = {.least = 1,
-                                                  .most = PLAY_MOST,
-                                                  .floor = 1,
+    static const capacity_bounds_t PLAY_BOUNDS = {.min_per_data_centre = 1,
+                                                  .max_per_data_centre =
+                                                      PLAY_MOST,
+                                                  .min_total = 1,
                                                   .reclaimable_price = 0.22,
-                                                  .reclaimable_part = 1};
+                                                  .reclaimable_fraction = 1};
     p->work.service = "s";
     p->work.running = p->jobs->len;
     p->work.tokens_a_ms = c->tokens_a_ms;
-    capacity_demand_note(p->demand, 1, &p->work, plan_us(ms));
-    service_demand_t demand = capacity_demand_of(p->demand, "s", plan_us(ms));
+    capacity_demand_record(p->demand, 1, &p->work, plan_us(ms));
+    service_demand_t demand = capacity_demand_sum(p->demand, "s", plan_us(ms));
     for (guint i = 0; i < PLACES; i++) {
-        capacity_place_t *place = &p->places[i];
+        capacity_data_centre_t *place = &p->places[i];
         guint first = place_index(place) * PLAY_MOST;
         place->ready[ENGINES_RECLAIMABLE] = 0;
         for (guint k = 0; k < PLAY_MOST; k++) {
@@ -530,13 +535,13 @@
     capacity_plan_update(plan, &PLAY_BOUNDS, &demand, SLOTS, p->places, PLACES,
                          plan_us(ms));
     for (guint i = 0; i < PLACES; i++) {
-        capacity_place_t *place = &p->places[i];
+        capacity_data_centre_t *place = &p->places[i];
         guint count =
             capacity_next_order(place, ENGINES_RECLAIMABLE, PLAY_MOST);
         gboolean lacking = place_index(place) == 1 && ms >= RECLAIM_MS &&
                            ms < RECLAIM_MS + LACKING_MS;
         if (lacking) {
-            place->lacking_us = plan_us(ms + 1000);
+            place->unavailable_until_us = plan_us(ms + 1000);
             place->ordered[ENGINES_RECLAIMABLE] = 0;
             continue;
         }
@@ -590,8 +595,8 @@
     play_t p;
     capacity_plan_t plan;
     play_init(&p, c, &kind);
-    capacity_plan_init(&plan,
-                       c->way != NULL ? capacity_way_find(c->way) : NULL);
+    capacity_plan_init(&plan, c->way != NULL ? capacity_estimator_find(c->way)
+                                             : NULL);
     for (gint64 ms = -2 * (gint64)BOOT_MS; ms < PLAY_MS; ms += PLAY_TICK_MS) {
         if (c->way != NULL && ms % PLAN_MS == 0) {
             play_plan(&p, &plan, c, ms);
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -64,7 +64,7 @@
     for (guint i = 0; i < list->len; i++) {
         endpoint_t *e = list->pdata[i];
         for (guint64 part = 1; part <= parts; part++) {
-            directory_note_part(d, e, part);
+            directory_record_part(d, e, part);
         }
         bytes += e->parts.count * sizeof(*e->parts.places);
     }
@@ -107,13 +107,13 @@
     for (gsize i = 0; i < G_N_ELEMENTS(HELD); i++) {
         gsize held = HELD[i].held;
         CU_ASSERT_EQUAL(memory_admits(MEMORY, held), HELD[i].admits);
-        CU_ASSERT_EQUAL(memory_gathers(MEMORY, held), HELD[i].gathers);
-        CU_ASSERT_EQUAL(memory_stream_most(MEMORY, held), HELD[i].stream_most);
+        CU_ASSERT_EQUAL(memory_admits_buffered(MEMORY, held), HELD[i].gathers);
+        CU_ASSERT_EQUAL(memory_stream_max(MEMORY, held), HELD[i].stream_most);
     }
     /* All connections' streams, read by nobody. */
     gsize held = 0;
     for (guint i = 0; i < CONNECTIONS; i++) {
-        held += memory_stream_most(MEMORY, held);
+        held += memory_stream_max(MEMORY, held);
     }
     CU_ASSERT(memory_admits(MEMORY, held));
 }
@@ -138,11 +138,11 @@
         endpoint_load_t sum = {.endpoint = e->hash, .running = 2};
         g_array_append_val(sums, sum);
     }
-    directory_join(d, list->pdata[0], 500, 500);
+    directory_request_start(d, list->pdata[0], 500, 500);
     for (gint64 i = 1; i <= REPORTS; i++) {
         GArray *own = directory_loads(d);
         CU_ASSERT_EQUAL(own->len, 1);
-        directory_take_loads(d, sums, own);
+        directory_apply_loads(d, sums, own);
         split_demand_t demand = directory_demand(d, "s", i * REPORT_US);
         CU_ASSERT_EQUAL(demand.of_rest.running, 2 * BUSY);
         CU_ASSERT_EQUAL(demand.engines, endpoints);
@@ -204,8 +204,8 @@
         for (gsize j = 0; j < G_N_ELEMENTS(BOUNDS_MS); j++) {
             sync_pace_t pace = {.entries = ENTRIES[i],
                                 .leads = TRUE,
-                                .sound = TRUE,
-                                .bound_ms = BOUNDS_MS[j]};
+                                .healthy = TRUE,
+                                .revocation_bound_ms = BOUNDS_MS[j]};
             CU_ASSERT(sync_wait_ms(&pace) <= 0.25 * BOUNDS_MS[j]);
             pace.leads = FALSE;
             CU_ASSERT(sync_wait_ms(&pace) <= 2000);
@@ -285,7 +285,7 @@
                                .rate = 2};
         limit_change_t change;
         const endpoint_t *e =
-            directory_take_limit(d, &state, &change, 1 * SECOND);
+            directory_apply_limit(d, &state, &change, 1 * SECOND);
         CU_ASSERT_FATAL(e != NULL && change == LIMIT_FIRST);
         if (i < ASKS) {
             endpoint_limit_deny(e->limit, 2 * SECOND);
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -41,13 +41,13 @@
     if (c->acted_ms >= 0) {
         gint64 at = c->acted_ms * MS;
         CU_ASSERT(duty_lease_update(&lease, TRUE, 4, at + SECOND, at));
-        CU_ASSERT_EQUAL(duty_lease_act(&lease, at), 4);
+        CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, at), 4);
         CU_ASSERT(duty_lease_update(&lease, FALSE, 5, 0, at + MS));
-        CU_ASSERT_EQUAL(duty_lease_act(&lease, at + MS), 0);
+        CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, at + MS), 0);
     }
     for (gint64 ms = c->leads_ms; ms < c->acts_ms + 100; ms += 50) {
         duty_lease_update(&lease, TRUE, 6, (ms + LEASE_MS) * MS, ms * MS);
-        guint64 token = duty_lease_holds(&lease, ms * MS);
+        guint64 token = duty_lease_token(&lease, ms * MS);
         if (token != (ms >= c->acts_ms ? 6u : 0u)) {
             printf("%s: token %lu at %ld ms\n", c->name, (unsigned long)token,
                    (long)ms);
@@ -56,7 +56,7 @@
     }
     /* Not renewed, it ends by itself. */
     gint64 last_us = (c->acts_ms + 50 + LEASE_MS) * MS;
-    CU_ASSERT_EQUAL(duty_lease_act(&lease, last_us), 0);
+    CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, last_us), 0);
 }
 
 static void
@@ -94,7 +94,7 @@
                 own = wall + off;
             }
             else {
-                site_clock_note(clock, name, wall + off, now);
+                site_clock_record(clock, name, wall + off, now);
             }
         }
         gint64 told = site_clock_wall_us(clock, own, now);
@@ -111,8 +111,8 @@
 {
     site_clock_t *clock = site_clock_create();
     gint64 wall = 1700000000 * (gint64)SECOND;
-    site_clock_note(clock, "a", wall + 50 * SECOND, 0);
-    site_clock_note(clock, "b", wall + 50 * SECOND, 0);
+    site_clock_record(clock, "a", wall + 50 * SECOND, 0);
+    site_clock_record(clock, "b", wall + 50 * SECOND, 0);
     CU_ASSERT_EQUAL(site_clock_wall_us(clock, wall, 0), wall + 50 * SECOND);
     CU_ASSERT_EQUAL(site_clock_wall_us(clock, wall + 10 * SECOND, 10 * SECOND),
                     wall + 10 * SECOND);
@@ -121,8 +121,8 @@
 
 /* ---- windows ---- */
 
-static const usage_times_t TIMES = {.window_us = 5 * SECOND,
-                                    .due_us = 10 * SECOND};
+static const usage_schedule_t TIMES = {.window_us = 5 * SECOND,
+                                       .due_us = 10 * SECOND};
 
 static void
 report(usage_book_t *book, guint64 incarnation, guint64 window,
@@ -159,7 +159,7 @@
 test_reports_count_once(void)
 {
     usage_book_t *book = usage_book_create();
-    usage_book_begin(book, 0);
+    usage_book_start_term(book, 0);
     report(book, 1, 100, "t", 7);
     report(book, 1, 100, "t", 9);
     report(book, 1, 100, "t", 8);
@@ -167,8 +167,9 @@
     report(book, 2, 100, "u", 3);
     report(book, 2, 101, "t", 50);
     gint64 end = 101 * TIMES.window_us;
-    CU_ASSERT_PTR_NULL(usage_book_due(book, &TIMES, 0, end));
-    usage_window_t *w = usage_book_due(book, &TIMES, 0, end + 2 * SECOND);
+    CU_ASSERT_PTR_NULL(usage_book_next_final(book, &TIMES, 0, end));
+    usage_window_t *w =
+        usage_book_next_final(book, &TIMES, 0, end + 2 * SECOND);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 100);
     CU_ASSERT_EQUAL(count_of(w, "t"), 10);
@@ -196,12 +197,13 @@
 {
     usage_book_t *book = usage_book_create();
     gint64 end = 101 * TIMES.window_us;
-    usage_book_begin(book, end + c->began_s * SECOND);
+    usage_book_start_term(book, end + c->began_s * SECOND);
     report(book, 1, 100, "t", 7);
     gint64 fixed = 0;
     for (gint64 ms = MAX(c->began_s * 1000, 0); ms < 30000 && fixed == 0;
          ms += 100) {
-        usage_window_t *w = usage_book_due(book, &TIMES, 99, end + ms * MS);
+        usage_window_t *w =
+            usage_book_next_final(book, &TIMES, 99, end + ms * MS);
         if (w != NULL) {
             fixed = ms;
             CU_ASSERT_EQUAL(count_of(w, "t"), 7);
@@ -242,16 +244,16 @@
         usage_book_t *book = usage_book_create();
         gint64 end = 101 * TIMES.window_us;
         gint64 fixed = -1;
-        usage_book_begin(book, 0);
+        usage_book_start_term(book, 0);
         report(book, 1, 100, "t", 7);
-        usage_book_heard(book, 1, end + CASES[i].heard_ms * MS);
+        usage_book_record_contact(book, 1, end + CASES[i].heard_ms * MS);
         for (gint64 ms = 0; ms < 10000 && fixed < 0; ms += 100) {
             if (ms == CASES[i].back_ms && ms != 0) {
                 report(book, 1, 100, "t", 9);
-                usage_book_heard(book, 1, end + ms * MS);
+                usage_book_record_contact(book, 1, end + ms * MS);
             }
             usage_window_t *w =
-                usage_book_due(book, &TIMES, 99, end + ms * MS);
+                usage_book_next_final(book, &TIMES, 99, end + ms * MS);
             if (w != NULL) {
                 gboolean back =
                     CASES[i].back_ms != 0 && CASES[i].back_ms <= ms;
@@ -271,14 +273,14 @@
 test_windows_in_a_row(void)
 {
     usage_book_t *book = usage_book_create();
-    usage_book_begin(book, 0);
+    usage_book_start_term(book, 0);
     gint64 now = 200 * TIMES.window_us;
-    usage_window_t *w = usage_book_due(book, &TIMES, 197, now);
+    usage_window_t *w = usage_book_next_final(book, &TIMES, 197, now);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 198);
     CU_ASSERT_EQUAL(usage_window_total(w), 0);
     usage_window_free(w);
-    w = usage_book_due(book, &TIMES, 100, now);
+    w = usage_book_next_final(book, &TIMES, 100, now);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 200 - USAGE_WINDOWS_MAX);
     usage_window_free(w);
@@ -299,19 +301,19 @@
     GBytes *b = usage_fix_command(second);
     CU_ASSERT(usage_command_apply(ledger, a));
     CU_ASSERT_FALSE(usage_command_apply(ledger, b));
-    CU_ASSERT_EQUAL(usage_ledger_fixed_through(ledger), 100);
+    CU_ASSERT_EQUAL(usage_ledger_finalized_through(ledger), 100);
     GBytes *saved = usage_ledger_write(ledger);
     usage_ledger_t *restored = usage_ledger_read(saved);
     CU_ASSERT_PTR_NOT_NULL_FATAL(restored);
     CU_ASSERT_FALSE(usage_command_apply(restored, b));
-    const usage_window_t *untold = usage_ledger_untold(restored, 0);
+    const usage_window_t *untold = usage_ledger_next_unaccepted(restored, 0);
     CU_ASSERT_PTR_NOT_NULL_FATAL(untold);
     CU_ASSERT_EQUAL(count_of(untold, "t"), 7);
-    CU_ASSERT_PTR_NULL(usage_ledger_untold(restored, 100));
+    CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 100));
     GBytes *take = usage_take_command(100);
     CU_ASSERT(usage_command_apply(restored, take));
-    CU_ASSERT_PTR_NULL(usage_ledger_untold(restored, 0));
-    CU_ASSERT_EQUAL(usage_ledger_fixed_through(restored), 100);
+    CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 0));
+    CU_ASSERT_EQUAL(usage_ledger_finalized_through(restored), 100);
     g_bytes_unref(a);
     g_bytes_unref(b);
     g_bytes_unref(saved);
@@ -339,7 +341,8 @@
 {
     CU_ASSERT_EQUAL(state->version, version);
     CU_ASSERT(str_equal(str_from_bytes(state->text), str_from_cstr(text)));
-    CU_ASSERT_EQUAL(usage_ledger_fixed_through(state->usage), fixed_through);
+    CU_ASSERT_EQUAL(usage_ledger_finalized_through(state->usage),
+                    fixed_through);
 }
 
 /* A log, or a snapshot, that was written when it held configurations only is
@@ -431,7 +434,7 @@
     engine_supply_t supply = {.service = g_strdup("a"),
                               .data_centre = g_strdup("dc"),
                               .slots = 16,
-                              .kept = 4,
+                              .on_demand = 4,
                               .reclaimable = 5};
     g_array_append_val(report.supplies, supply);
     GBytes *bytes = usage_report_write(&report);
--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -207,7 +207,8 @@
     CU_ASSERT(registry_expire(r, 8 * SECOND));
     GPtrArray *news = registry_since(r, cursor, G_MAXUINT, &through);
     CU_ASSERT_EQUAL_FATAL(news->len, 1);
-    CU_ASSERT_EQUAL(((endpoint_lease_t *)news->pdata[0])->state, LEASE_SILENT);
+    CU_ASSERT_EQUAL(((endpoint_lease_t *)news->pdata[0])->state,
+                    LEASE_EXPIRED);
     g_ptr_array_unref(news);
     again.sequence = 4;
     registry_renew(r, &again, 9 * SECOND);
@@ -239,14 +240,14 @@
     {"silent at one, heard by another",
      {{0, "e", 1, LEASE_READY},
       {1, "e", 4, LEASE_READY},
-      {0, "e", 1, LEASE_SILENT}},
+      {0, "e", 1, LEASE_EXPIRED}},
      3,
      TRUE},
     {"silent at all",
      {{0, "e", 1, LEASE_READY},
       {1, "e", 4, LEASE_READY},
-      {0, "e", 1, LEASE_SILENT},
-      {1, "e", 4, LEASE_SILENT}},
+      {0, "e", 1, LEASE_EXPIRED},
+      {1, "e", 4, LEASE_EXPIRED}},
      4,
      FALSE},
     {"draining is not taken back by one that missed it",
@@ -292,7 +293,7 @@
     directory_t *d = directory_create(drop_nothing);
     endpoint_lease_t lease = lease_of("e", 1, LEASE_READY);
     directory_update(d, 3, &lease, SECOND);
-    directory_forget(d, 3, 2 * SECOND);
+    directory_source_reset(d, 3, 2 * SECOND);
     const endpoint_t *e = directory_find(d, "e");
     CU_ASSERT(endpoint_usable(e, 3 * SECOND));
     CU_ASSERT_FALSE(endpoint_usable(e, 20 * SECOND));
@@ -442,7 +443,7 @@
     second.address = "10.0.0.2:80";
     directory_update(d, 0, &first, SECOND);
     endpoint_t *before = directory_find(d, "e");
-    directory_note_part(d, before, 77);
+    directory_record_part(d, before, 77);
     endpoint_note(before, ENDPOINT_UNREACHABLE, SECOND);
     endpoint_join(before, 5000, 5000);
     directory_update(d, 1, &second, SECOND);
@@ -495,21 +496,22 @@
     gint64 next_ms;      /* the next start; 0: none came */
     const char *next_id; /* under which id */
     const char *next_address;
-    start_state_t state;
+    incarnation_state_t state;
 } start_state_case_t;
 
 static const start_state_case_t START_STATE_CASES[] = {
-    {"ready", LEASE_READY, 0, "", "", START_KNOWN},
-    {"silent", LEASE_SILENT, 0, "", "", START_KNOWN},
-    {"drains", LEASE_DRAINING, 0, "", "", START_LEAVES},
-    {"left", LEASE_LEFT, 0, "", "", START_LEAVES},
-    {"started again", LEASE_READY, 200, "e", "10.0.0.2:80", START_REPLACED},
+    {"ready", LEASE_READY, 0, "", "", INCARNATION_CURRENT},
+    {"silent", LEASE_EXPIRED, 0, "", "", INCARNATION_CURRENT},
+    {"drains", LEASE_DRAINING, 0, "", "", INCARNATION_LEAVING},
+    {"left", LEASE_LEFT, 0, "", "", INCARNATION_LEAVING},
+    {"started again", LEASE_READY, 200, "e", "10.0.0.2:80",
+     INCARNATION_REPLACED},
     {"its address went to a later start", LEASE_READY, 200, "f", "10.0.0.1:80",
-     START_REPLACED},
+     INCARNATION_REPLACED},
     {"another start elsewhere", LEASE_READY, 200, "f", "10.0.0.2:80",
-     START_KNOWN},
+     INCARNATION_CURRENT},
     {"left, and its address was used again", LEASE_LEFT, 200, "f",
-     "10.0.0.1:80", START_LEAVES},
+     "10.0.0.1:80", INCARNATION_LEAVING},
 };
 
 static void
@@ -528,8 +530,8 @@
             next.address = (char *)c->next_address;
             directory_update(d, 1, &next, SECOND);
         }
-        start_state_t state =
-            directory_start_state(d, "e", 100, "10.0.0.1:80");
+        incarnation_state_t state =
+            directory_incarnation_state(d, "e", 100, "10.0.0.1:80");
         if (state != c->state) {
             printf("%s: state %d\n", c->name, state);
         }
@@ -547,12 +549,12 @@
     endpoint_lease_t lease = lease_of("e", 1, LEASE_READY);
     directory_update(d, 0, &lease, SECOND);
     endpoint_t *e = directory_find(d, "e");
-    directory_join(d, e, 0, 0);
+    directory_request_start(d, e, 0, 0);
     lease = lease_of("e", 2, LEASE_LEFT);
     directory_update(d, 0, &lease, SECOND);
     endpoint_limit_named(directory_limit(d, e), 2, SECOND, SECOND);
     CU_ASSERT_EQUAL(directory_limits(d)->len, 0);
-    directory_leave(d, e, 0);
+    directory_request_end(d, e, 0);
     directory_sweep(d, SECOND);
     CU_ASSERT_EQUAL(directory_limits(d)->len, 0);
     directory_destroy(d);
@@ -572,7 +574,7 @@
         .limited = TRUE,
         .rate = 2,
     };
-    CU_ASSERT_PTR_NULL(directory_take_limit(d, &state, &change, SECOND));
+    CU_ASSERT_PTR_NULL(directory_apply_limit(d, &state, &change, SECOND));
     directory_update(d, 0, &lease, SECOND);
     const endpoint_t *e = directory_find(d, "e");
     CU_ASSERT(e->limit != NULL && e->limit->limited);
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -339,7 +339,7 @@
         GArray *sums = g_array_new(FALSE, FALSE, sizeof(sum));
         GArray *own = g_array_new(FALSE, FALSE, sizeof(sum));
         g_array_append_val(sums, sum);
-        directory_take_loads(d, sums, own);
+        directory_apply_loads(d, sums, own);
         CU_ASSERT_EQUAL(home->others.prompt_tokens, 60000);
         CU_ASSERT_EQUAL(place_of(d, c).endpoint == home, QUEUES[i].stays);
         g_array_unref(sums);
@@ -401,11 +401,11 @@
     GArray *owns = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
     g_array_append_val(sums, sum);
     g_array_append_val(owns, own);
-    directory_take_loads(d, sums, owns);
+    directory_apply_loads(d, sums, owns);
     CU_ASSERT_EQUAL(home->others.running, SLOTS - 1);
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     g_array_set_size(sums, 0);
-    directory_take_loads(d, sums, owns);
+    directory_apply_loads(d, sums, owns);
     CU_ASSERT_EQUAL(home->others.running, 0);
     CU_ASSERT_PTR_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     g_array_unref(sums);
@@ -512,7 +512,7 @@
         c.shared = part;
         c.long_part = 0.9;
         endpoint_t *before = place_of(d, c).endpoint;
-        directory_note_part(d, before, part);
+        directory_record_part(d, before, part);
         c.long_part = 0.3;
         placement_t after = place_of(d, c);
         if (after.endpoint != before) {
@@ -597,7 +597,7 @@
     GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_note_t));
     part_note_t note = {.part = 7, .endpoint = holder->hash};
     g_array_append_val(notes, note);
-    directory_take_parts(d, notes);
+    directory_apply_parts(d, notes);
     CU_ASSERT(endpoint_has_part(holder, 7));
     CU_ASSERT_PTR_EQUAL(place_of(d, c).source, holder);
     holder->failures = 0.5;
@@ -625,7 +625,7 @@
     placement_t first = placement_pick(list, &request, 0);
     CU_ASSERT_FALSE(first.prefix_held);
     endpoint_t *other = list->pdata[first.endpoint == list->pdata[0]];
-    directory_note_part(d, other, PREFIX);
+    directory_record_part(d, other, PREFIX);
     placement_t then = placement_pick(list, &request, 0);
     CU_ASSERT(then.prefix_held);
     CU_ASSERT_PTR_EQUAL(then.endpoint, first.endpoint);
@@ -633,7 +633,7 @@
     /* One that keeps all of it is better. */
     endpoint_t *whole = list->pdata[list->len - 1];
     CU_ASSERT_PTR_NOT_EQUAL(whole, first.endpoint);
-    directory_note_part(d, whole, THING);
+    directory_record_part(d, whole, THING);
     CU_ASSERT_PTR_EQUAL(placement_pick(list, &request, 0).source, whole);
     directory_destroy(d);
 }
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -253,7 +253,7 @@
     part_note_t note = {.part = part, .endpoint = e->hash};
     if (part != 0 && !endpoint_has_part(e, part)) {
         g_array_append_val(p->sent[n], note);
-        directory_note_part(p->seen[n], e, part);
+        directory_record_part(p->seen[n], e, part);
     }
 }
 
@@ -350,7 +350,7 @@
     }
     note_shared(p, engine, part, k->shared_tokens);
     note_sent(p, n, e, part);
-    directory_join(p->seen[n], e, k->prompt_tokens, r->waiting);
+    directory_request_start(p->seen[n], e, k->prompt_tokens, r->waiting);
     batch_engine_add(engine, &r->job);
     g_ptr_array_add(p->under_way, r);
 }
@@ -374,7 +374,7 @@
 {
     const request_kind_t *k = kind_of(p, r->kind);
     const engine_job_t *job = &r->job;
-    directory_leave(p->seen[r->instance], r->endpoint, k->prompt_tokens);
+    directory_request_end(p->seen[r->instance], r->endpoint, k->prompt_tokens);
     if (job->first_ms - job->sent_ms <= (double)k->target_ms &&
         job->longest_ms <= (double)k->pause_ms) {
         p->served[r->kind].in_aim++;
@@ -402,7 +402,7 @@
     part_feed_add(p->feed, p->sent[n]);
     g_array_set_size(p->sent[n], 0);
     GArray *notes = part_feed_since(p->feed, &p->heard[n]);
-    directory_take_parts(p->seen[n], notes);
+    directory_apply_parts(p->seen[n], notes);
     g_array_unref(notes);
 }
 
@@ -432,7 +432,7 @@
     load_sum_report(p->loads, name, own, 0);
     gint64 now_us = (gint64)(now_ms * 1000);
     GArray *all = loads_told(p, now_us);
-    directory_take_loads(p->seen[n], all, own);
+    directory_apply_loads(p->seen[n], all, own);
     split_demand_t demand = directory_demand(p->seen[n], "s", now_us);
     prompt_mix_fill(&p->mix[n], p->instances, now_us, &demand);
     demand.tokens_a_ms = engine_model_tokens_a_ms(&p->model[n]);
--- a/tests/test_voter.c
+++ b/tests/test_voter.c
@@ -182,7 +182,7 @@
         g_rand_int_range(w->call_rand, 0, 3) != 0) {
         return;
     }
-    guint64 token = duty_lease_act(&n->duties, now);
+    guint64 token = duty_lease_authorize_call(&n->duties, now);
     if (token != 0) {
         w->calls[w->calls_under_way++] = (duty_call_t){
             .token = token,
