--- a/include/carobloom/policy/capacity_plan.h
+++ b/include/carobloom/policy/capacity_plan.h
@@ -1,10 +1,11 @@
-/* How many engines of a service stand in each data centre, and at which price.
+/* Plans how many engines of a service to order in each data centre, and of
+ * which kind.
  *
- * Two kinds are ordered: kept ones, which stay until they are no longer
- * ordered, and reclaimable ones, which cost less and may all be taken from a
- * data centre at once, at a notice shorter than an engine takes to start.
- * The plan answers loads that multiply within less than that time: it holds
- * what the highest load of late asked for, goes up at once and down slowly.
+ * On-demand engines stay until they are no longer ordered. Reclaimable engines
+ * cost less, but the platform may take back all of them in a data centre at
+ * once, with a notice that is shorter than the start of an engine. Load can
+ * multiply in less time than an engine takes to start. The plan therefore
+ * covers the highest recent load: it scales up at once and down slowly.
  * Pure. */
 #ifndef CAROBLOOM_POLICY_CAPACITY_PLAN_H
 #define CAROBLOOM_POLICY_CAPACITY_PLAN_H
@@ -17,62 +18,60 @@
     ENGINES_KINDS,
 } supply_kind_t;
 
-/* A data centre that may have engines of the service. */
+/* Capacity of one data centre that may have engines of the service. */
 typedef struct {
     char *name;
-    double price;                 /* of a kept engine there, a second */
-    guint ready[ENGINES_KINDS];   /* that take work now */
-    guint ordered[ENGINES_KINDS]; /* as the platform last took it */
-    guint wanted[ENGINES_KINDS];  /* the plan */
+    double price;                 /* of an on-demand engine, per second */
+    guint ready[ENGINES_KINDS];   /* engines that take requests now */
+    guint ordered[ENGINES_KINDS]; /* in the last order that was accepted */
+    guint wanted[ENGINES_KINDS];  /* engines in the plan */
     gboolean idle;                /* no demand was seen yet */
-    gint64 unavailable_until_us;  /* no reclaimable ones are to be had until
-                                     then */
+    gint64 unavailable_until_us;  /* no reclaimable engines until then */
 } capacity_data_centre_t;
 
-/* What an operator and the platform allow. */
+/* Bounds set by the operator and the platform. */
 typedef struct {
-    guint min_per_data_centre; /* in one data centre, both kinds together */
+    guint min_per_data_centre; /* both kinds together */
     guint max_per_data_centre;
-    guint min_total;          /* in all */
-    guint max_total;          /* in all; 0: none */
-    double reclaimable_price; /* in parts of a kept one's; 0: none are had */
-    double reclaimable_fraction; /* of what is ordered, at most */
+    guint min_total;             /* over all data centres */
+    guint max_total;             /* over all data centres; 0: no maximum */
+    double reclaimable_price;    /* fraction of on-demand; 0: none */
+    double reclaimable_fraction; /* maximum fraction of the ordered engines */
 } capacity_bounds_t;
 
-/* Way to work out how many are needed; see capacity_estimator_find. */
+/* Estimates how many engines are needed; see capacity_estimator_find. */
 typedef struct {
     const char *name;
-    /* Engines that serve the demand well, of so many slots each. */
+    /* Engines, with `slots` each, that serve the demand well. */
     double (*needed)(const service_demand_t *demand, guint slots);
 } capacity_estimator_t;
 
 typedef struct {
     const capacity_estimator_t *estimator;
-    double needed; /* by the demand now */
-    double peak;   /* the highest of late, that is planned for */
+    double needed; /* estimate for the current demand */
+    double peak;   /* highest recent estimate, which the plan covers */
     gint64 peak_us;
     gint64 updated_us;
     gint64 first_demand_us; /* when demand was first seen; 0: not yet */
-    guint initial_engines;  /* that stood when it began amid demand; 0: it did
-                               not */
-    guint total;            /* engines planned */
+    guint initial_engines;  /* ready when the plan began amid demand, or 0 */
+    guint total;            /* engines planned, both kinds */
 } capacity_plan_t;
 
-/* "model": by the reading that is asked for and the slots taken. "share": by
- * the slots alone. NULL for no such way. */
+/* "model": estimates from the prefill work and the slots in use. "share":
+ * estimates from the slots alone. Returns NULL for an unknown name. */
 const capacity_estimator_t *capacity_estimator_find(const char *name);
 void capacity_plan_init(capacity_plan_t *plan,
                         const capacity_estimator_t *estimator);
-/* Takes the demand as it is now and fills in `wanted` of each place;
- * `slots` are those of one engine. */
+/* Updates the plan for the current demand and sets `wanted` of each data
+ * centre. `slots` are those of one engine. Sorts `data_centres` by price. */
 void capacity_plan_update(capacity_plan_t *plan,
                           const capacity_bounds_t *bounds,
                           const service_demand_t *demand, guint slots,
                           capacity_data_centre_t *data_centres, guint count,
                           gint64 now_us);
-/* What is to be ordered now of one kind at a place, on the way to what is
- * wanted: reclaimable engines that came up let kept ones go, and both together
- * never exceed what the platform allows there. */
+/* Returns the number of engines of one kind to order now in a data centre, as
+ * a step towards the plan. On-demand engines are released as reclaimable
+ * engines become ready, and both kinds together never exceed `max_engines`. */
 guint capacity_next_order(const capacity_data_centre_t *data_centre,
                           supply_kind_t kind, guint max_engines);
 
--- a/policy/capacity_demand.c
+++ b/policy/capacity_demand.c
@@ -3,19 +3,19 @@
 #include <math.h>
 
 enum {
-    /* An entry instance that told nothing for so long has ended, or is cut
-     * off: its callers are with others by then. */
+    /* An entry instance without a report for this long has ended or is cut
+     * off, and its callers have moved to other instances. */
     REPORT_TIMEOUT_US = 2 * G_USEC_PER_SEC,
 };
 
-/* Rates follow what is told within about so long: a third of the time that an
- * engine takes to start where it was met. */
+/* Time constant of the rates: a third of the time that an engine takes to
+ * start. */
 static const double RATE_TIME_CONSTANT_US = 700 * 1000;
 
-/* What one start of an entry instance last told of a service. */
+/* Last report of one incarnation of an entry instance on a service. */
 typedef struct {
-    service_work_t last; /* `service` is the table's key */
-    double arrived;      /* a second */
+    service_work_t last; /* `service` is NULL: it is the table's key */
+    double arrived;      /* rates per second */
     double turned_away;
     double read_tokens;
     gint64 reported_us;
--- a/policy/capacity_plan.c
+++ b/policy/capacity_plan.c
@@ -5,46 +5,49 @@
 
 enum {
     MS = 1000,
-    /* The highest need is held for so long, since bursts come again, and then
-     * falls by half in the same time. */
+    /* The peak is held for this time, since bursts recur, and then halves in
+     * each further period of this length. */
     PEAK_HOLD_US = 20 * G_USEC_PER_SEC,
-    /* Before so much demand was seen, what may come is not known: all that is
-     * cheap stands ready. */
+    /* Until demand has been seen for this time, the coming load is unknown,
+     * and all engines that are cheap are kept ready. */
     LEARNING_US = 8 * G_USEC_PER_SEC,
-    /* Of what a data centre may have, let go at once to make room. */
+    /* The fraction 1/4 of the engines allowed in a data centre is released at
+     * once to make room. */
     CROWDED_DIVISOR = 4,
-    /* And kept while nobody asks for anything, until reclaimable ones are up:
-     * a few, should somebody ask in that time. */
+    /* Without demand, the fraction 1/8 of the engines allowed in a data centre
+     * stays on demand until reclaimable engines are ready, to serve the first
+     * requests. */
     IDLE_DIVISOR = 8,
 };
 
-/* Engines read for such a part of their time at most: a prompt then waits for
- * less than another one is read in, on average, and streams beside it go on.
- */
+/* Maximum fraction of time that an engine spends on prefill. A prompt then
+ * waits for less than the prefill of one other prompt on average, and streams
+ * on the same engine continue. */
 static const double PREFILL_FRACTION_MAX = 0.42;
-/* And such a part of their slots is taken, so that a place is found although
- * what is known of the others is a tenth of a second old. */
+/* Maximum fraction of slots in use, so that a request finds a free slot
+ * although the loads of other instances are 0.1 s old. */
 static const double SLOTS_FRACTION_MAX = 0.5;
-/* On top, for what comes in less time than an engine takes to start. */
+/* Headroom for load that arrives in less time than an engine takes to
+ * start. */
 static const double BURST_FACTOR = 1.3;
-/* Reclaimable engines up to this price are cheap enough to stand ready before
- * anything is known. */
+/* Reclaimable engines up to this price, relative to on-demand engines, are
+ * kept ready before the load is known. */
 static const double CHEAP_PRICE_MAX = 0.5;
-/* Kept engines stand in for reclaimable ones that are not to be had only up to
- * such a part of what is needed now: they cost several times as much, and each
- * engine that comes and goes takes prompt parts with it. With less than that
- * most requests would be refused. */
+/* On-demand engines replace unavailable reclaimable engines only up to this
+ * fraction of the engines needed now. On-demand engines cost several times as
+ * much, and an engine that comes and goes takes cached prompt parts with it.
+ * With a lower fraction most requests would be refused. */
 static const double SUBSTITUTE_FRACTION_MAX = 0.4;
 
-/* ---- how many ---- */
+/* ---- number of engines ---- */
 
 static double
 slots_needed(const service_demand_t *d, guint slots)
 {
-    /* What was turned away would have stayed as long as the others do. */
+    /* A request that was turned away would have run as long as the others. */
     double duration_s = d->arrived > 0 ? d->running / d->arrived : 0;
-    double slots_in_use = d->running + d->turned_away * MIN(duration_s, 5);
-    return slots_in_use / MAX(SLOTS_FRACTION_MAX * slots, 1);
+    double slots_demanded = d->running + d->turned_away * MIN(duration_s, 5);
+    return slots_demanded / MAX(SLOTS_FRACTION_MAX * slots, 1);
 }
 
 static double
@@ -82,8 +85,8 @@
     *p = (capacity_plan_t){.estimator = estimator};
 }
 
-/* `most`: the highest need that engines can be had for. One beyond it would be
- * held long after it can change anything. */
+/* `max_needed` is the highest estimate that engines are available for. A
+ * higher peak would be held long after it can have any effect. */
 static void
 peak_update(capacity_plan_t *p, double max_needed, gint64 now_us)
 {
@@ -118,8 +121,9 @@
     return present;
 }
 
-/* Notes when demand was first seen. A plan that begins in the middle of it,
- * with a new holder, keeps what stands until it has seen enough itself. */
+/* Records when demand was first seen. A plan that begins amid demand, on a new
+ * duty holder, keeps the engines that are ready until it has seen enough
+ * demand itself. */
 static void
 first_demand_update(capacity_plan_t *p, const service_demand_t *demand,
                     const capacity_data_centre_t *data_centres, guint count,
@@ -134,7 +138,7 @@
     }
 }
 
-/* Engines that stand while what may come is not known. */
+/* Number of engines to keep while the coming load is unknown. */
 static guint
 learning_total(const capacity_plan_t *p, const capacity_bounds_t *b,
                const capacity_data_centre_t *data_centres, guint count)
@@ -146,7 +150,7 @@
                                    : engines_ready(data_centres, count);
 }
 
-/* Engines of both kinds, in all. */
+/* Number of engines of both kinds in all data centres. */
 static guint
 total_engines(const capacity_plan_t *p, const capacity_bounds_t *b,
               const capacity_data_centre_t *data_centres, guint count,
@@ -166,10 +170,11 @@
         max_total);
 }
 
-/* ---- where, and of which kind ---- */
+/* ---- data centre and kind of each engine ---- */
 
-/* Spreads `total` evenly over the places, up to `room` of each; those earlier
- * in the order take what is left over. Returns what found no room. */
+/* Spreads `total` evenly over the data centres, up to `room` in each. Data
+ * centres earlier in the order get the remainder. Returns the number of
+ * engines that did not fit. */
 static guint
 spread(guint total, capacity_data_centre_t *data_centres, const guint *room,
        guint count, supply_kind_t kind)
@@ -221,12 +226,12 @@
         spread(reclaimable, data_centres, room, count, ENGINES_RECLAIMABLE);
     guint substitutes_max =
         (guint)ceil(MIN(p->needed, total) * SUBSTITUTE_FRACTION_MAX);
-    guint lacking = substitutes_max - MIN(substitutes_max, total - left);
+    guint missing = substitutes_max - MIN(substitutes_max, total - left);
     for (guint i = 0; i < count; i++) {
         room[i] = b->max_per_data_centre -
                   data_centres[i].wanted[ENGINES_RECLAIMABLE];
     }
-    spread(total - reclaimable + MIN(left, lacking), data_centres, room, count,
+    spread(total - reclaimable + MIN(left, missing), data_centres, room, count,
            ENGINES_ON_DEMAND);
     g_free(room);
 }
@@ -248,9 +253,11 @@
     place_engines(p, b, data_centres, count, now_us);
 }
 
-/* Kept engines where reclaimable ones need their room: once all that could be
- * ordered are up, as many are let go, or a part where there is no room yet.
- * While nobody asks for anything a smaller part is enough meanwhile. */
+/* Number of on-demand engines to keep where reclaimable engines need their
+ * room. Once all reclaimable engines that could be ordered are ready, the same
+ * number of on-demand engines is released; where there is no room yet, a fixed
+ * fraction is released. Without demand a smaller number of on-demand engines
+ * is enough. */
 static guint
 on_demand_when_crowded(const capacity_data_centre_t *p, guint max_engines)
 {
@@ -285,7 +292,7 @@
         return MIN(wanted, max_engines - MIN(p->ordered[ENGINES_RECLAIMABLE],
                                              max_engines));
     }
-    /* Each reclaimable engine that is up lets a kept one go. */
+    /* Each ready reclaimable engine releases an on-demand engine. */
     guint missing =
         reclaimable_wanted - MIN(reclaimable_wanted, reclaimable_ready);
     guint target = reclaimable_wanted + on_demand > max_engines
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -8,51 +8,52 @@
     SECOND_US = 1000 * 1000,
     /* Three heartbeats of 1.2 s and one that is late. */
     LEASE_GRACE_US = 5 * SECOND_US,
-    /* A late renewal of an endpoint that left must still be known as such:
-     * they were met seconds late, not minutes. */
+    /* How long a departure is remembered, to reject late renewals. Renewals
+     * arrive seconds late, not minutes. */
     DEPARTURE_RETENTION_US = 120 * SECOND_US,
-    /* From an endpoint's word that it drains to its end, the shortest met. */
+    /* Shortest time between an endpoint's drain notice and its end. */
     DRAIN_MIN_US = 2 * SECOND_US,
-    /* Its word may be half a second old, and what is fetched takes a few
+    /* The drain notice may be half a second old, and a fetch takes a few
      * milliseconds. */
     FETCH_MARGIN_US = 500 * 1000,
-    /* Prompt parts that are remembered of one endpoint, and of all: 1 MB. */
+    /* Prompt parts that are recorded for one endpoint, and in total (1 MB). */
     ENDPOINT_PARTS_MAX = 512,
     ENDPOINT_PARTS_MIN = 8,
     TOTAL_PARTS_MAX = 128 * 1024,
     PENDING_LIMITS_MAX = 1024,
-    /* Between two counts of a service's usable endpoints, for each of them: so
-     * much of the time goes into it, whatever their number. */
+    /* Minimum time between two counts of a service's usable endpoints, per
+     * endpoint. This bounds the share of processor time for counting, whatever
+     * the number of endpoints. */
     RECOUNT_INTERVAL_PER_ENDPOINT_US = 50,
 };
 
 /* The endpoints of one service. */
 typedef struct {
-    GPtrArray *list; /* endpoint_t *, by hash */
-    /* as last counted */
+    GPtrArray *list; /* endpoint_t *, sorted by hash */
+    /* result of the last count */
     guint usable;
     guint slots;
-    gint64 counted_us; /* 0: never */
+    gint64 counted_us; /* time of the last count; 0: never */
 } service_list_t;
 
 struct directory {
-    GHashTable *by_id;          /* endpoint_t, owned */
-    GHashTable *by_address;     /* the newest endpoint of an address */
-    GHashTable *by_service;     /* name -> service_list_t */
-    GHashTable *active;         /* set of endpoint_t with own requests */
-    GPtrArray *reported;        /* endpoint_t that have requests of others */
-    GHashTable *departures;     /* id -> departure_t */
-    GPtrArray *removed;         /* endpoint_t that left or started again */
-    GPtrArray *limits;          /* endpoint_t with a record of a limit */
-    GHashTable *pending_limits; /* limit_state_t, of endpoints not known yet */
-    guint64 visits;             /* endpoints looked at */
+    GHashTable *by_id;      /* endpoint_t, owned */
+    GHashTable *by_address; /* the latest endpoint at an address */
+    GHashTable *by_service; /* name -> service_list_t */
+    GHashTable *active;     /* set of endpoint_t with own requests in flight */
+    GPtrArray *reported;    /* endpoint_t with requests of other instances */
+    GHashTable *departures; /* id -> departure_t */
+    GPtrArray *removed; /* endpoint_t that left or were replaced, to free */
+    GPtrArray *limits;  /* endpoint_t with a limit record */
+    GHashTable *pending_limits; /* limit_state_t of unknown endpoints */
+    guint64 visits;             /* endpoints visited */
     void (*free_connections)(void *connections);
 };
 
-/* An endpoint left. */
+/* The latest departure of an endpoint id. */
 typedef struct {
     gint64 at_us;
-    gint64 started_ms; /* the last start of it that did */
+    gint64 started_ms; /* the latest incarnation that left */
 } departure_t;
 
 void
@@ -178,8 +179,8 @@
     return departure != NULL && lease->started_ms <= departure->started_ms;
 }
 
-/* The place of a hash in a list that is sorted by it: of the first one that is
- * no lower. */
+/* Index of the first endpoint in a sorted list whose hash is not lower than
+ * `hash`. */
 static guint
 list_lower_bound(const GPtrArray *list, guint64 hash)
 {
@@ -197,15 +198,15 @@
     return from;
 }
 
-/* Thousands come at once where engines are exchanged: to sort the list for
- * each takes seconds. */
+/* Inserts in order: when engines are replaced, thousands of endpoints are
+ * added at once, and sorting the list for each of them takes seconds. */
 static void
 list_insert(GPtrArray *list, endpoint_t *e)
 {
     g_ptr_array_insert(list, (gint)list_lower_bound(list, e->hash), e);
 }
 
-/* Two may have one hash. */
+/* Searches from the first equal hash, since two endpoints may share a hash. */
 static void
 list_remove(GPtrArray *list, const endpoint_t *e)
 {
@@ -226,8 +227,8 @@
     return e != NULL && e->hash == hash ? e : NULL;
 }
 
-/* It is no longer one of its service's, and is freed when its requests are
- * over. */
+/* Removes an endpoint from its service. The endpoint is freed once its
+ * requests have ended. */
 static void
 directory_remove(directory_t *d, endpoint_t *e)
 {
@@ -247,7 +248,7 @@
     }
 }
 
-/* It has started again. */
+/* Removes an endpoint whose id has a new incarnation. */
 static void
 directory_replace(directory_t *d, endpoint_t *e)
 {
@@ -256,10 +257,11 @@
     g_hash_table_remove(d->active, e);
 }
 
-/* Two endpoints at one address: the one that started later has it; where
- * starts are not told, the one known before has most likely ended. Not for
- * good, since a renewal that was held up may make an old start known last; the
- * answer of the endpoint itself decides (ENDPOINT_MISDIRECTED). */
+/* Resolves a conflict of two endpoints at one address. The later incarnation
+ * gets the address; without start times, the endpoint that was known before
+ * has most likely ended. The other endpoint is closed only for a while, since
+ * a delayed renewal may report the older incarnation last. The answer of the
+ * endpoint itself decides (ENDPOINT_MISDIRECTED). */
 static void
 address_claim(directory_t *d, endpoint_t *e, gint64 now_us)
 {
@@ -274,7 +276,7 @@
     g_hash_table_replace(d->by_address, e->address, e);
 }
 
-/* What was told of its limit before it was known. */
+/* Applies a limit that was reported before the endpoint was known. */
 static void
 pending_limit_apply(directory_t *d, endpoint_t *e, gint64 now_us)
 {
@@ -307,8 +309,8 @@
     return e;
 }
 
-/* An endpoint that drains serves on for a while, whether it says for how long
- * or not. */
+/* Marks an endpoint as draining. A draining endpoint still serves fetches for
+ * a while, also when its notice has no time. */
 static void
 record_draining(endpoint_t *e, const endpoint_lease_t *lease, gint64 now_us)
 {
@@ -334,7 +336,7 @@
         return;
     }
     if (e != NULL && lease->started_ms < e->started_ms) {
-        return; /* of a start before */
+        return; /* of an earlier incarnation */
     }
     if (has_left(d, lease)) {
         return;
@@ -503,8 +505,8 @@
     return load != NULL ? *load : (endpoint_load_t){0};
 }
 
-/* What of `sum` is not in `part`; a part told later than the sum may be
- * larger. */
+/* Returns `sum` without `part`. A part that is newer than the sum may be
+ * larger, so each difference is at least 0. */
 static endpoint_load_t
 load_subtract(endpoint_load_t sum, endpoint_load_t part)
 {
@@ -522,7 +524,7 @@
     };
 }
 
-/* By endpoint, for look-ups; the keys lie in `loads`. */
+/* Index by endpoint hash; the keys belong to `loads`. */
 static GHashTable *
 loads_index(const GArray *loads)
 {
@@ -534,7 +536,7 @@
     return index;
 }
 
-/* The endpoint of a hash among those that have not left, or NULL. */
+/* Returns the endpoint with this hash that has not left, or NULL. */
 static endpoint_t *
 endpoint_by_hash(const directory_t *d, guint64 hash)
 {
@@ -555,7 +557,7 @@
         return e->limit;
     }
     e->limit = g_new0(endpoint_limit_t, 1);
-    if (!e->left) { /* a late answer of one that left must not list it */
+    if (!e->left) { /* an endpoint that left is not listed by a late answer */
         g_ptr_array_add(d->limits, e);
     }
     return e->limit;
@@ -593,7 +595,7 @@
     return e;
 }
 
-/* Nothing is known of the others' requests any more. */
+/* Drops the reported loads of other instances. */
 static void
 reported_loads_clear(directory_t *d)
 {
@@ -623,7 +625,7 @@
     g_hash_table_unref(mine);
 }
 
-/* A power of two. */
+/* Maximum number of parts recorded for one endpoint; a power of two. */
 static guint
 endpoint_parts_max(const directory_t *d)
 {
@@ -673,7 +675,7 @@
     }
 }
 
-/* Whether it counts as one of the service's. */
+/* Whether an endpoint of this service has not left. */
 static gboolean
 is_in_service(const endpoint_t *e, const char *service)
 {
@@ -753,7 +755,7 @@
     return supplies;
 }
 
-/* The supply that an endpoint belongs to, made when missing. */
+/* Returns the supply that counts an endpoint, created if missing. */
 static engine_supply_t *
 supply_of(GArray *supplies, const endpoint_t *e)
 {
