--- a/include/carobloom/policy/usage_book.h
+++ b/include/carobloom/policy/usage_book.h
@@ -1,42 +1,44 @@
-/* What entry instances told of their usage, on the control instance that
- * leads, and which window is to be fixed next. Pure.
+/* Usage reports of the entry instances, collected on the leader of the control
+ * instances, which finalizes the windows one after the other. Pure.
  *
- * Each entry instance tells what it counted since its start, for the windows
- * that are not fixed yet, again and again: a report that comes twice counts
- * once, and a new leader is told by the entry instances what the old one
- * knew. */
+ * Each entry instance repeatedly reports its counts since its start, for the
+ * windows that are not finalized yet. A repeated report counts once. A new
+ * leader gets the counts again from the entry instances. */
 #ifndef CAROBLOOM_POLICY_USAGE_BOOK_H
 #define CAROBLOOM_POLICY_USAGE_BOOK_H
 
 #include "carobloom/policy/usage_tally.h"
 
-/* When windows are fixed. */
+/* When windows are finalized. */
 typedef struct {
     gint64 window_us;
-    gint64 due_us; /* after a window's end it has to be told */
+    gint64 due_us; /* deadline to report a window, after its end */
 } usage_schedule_t;
 
 typedef struct usage_book usage_book_t;
 
 usage_book_t *usage_book_create(void);
 void usage_book_destroy(usage_book_t *book);
-/* This instance came to lead at `wall_us`: what was told before is dropped. */
+/* This instance became the leader at `wall_us`: drops all earlier reports. */
 void usage_book_start_term(usage_book_t *book, gint64 wall_us);
-/* One start of an entry instance reported at `wall_us`, with or without
- * counts. A window waits for those that fell silent in it, as long as it can.
- */
+/* Records that an incarnation of an entry instance sent a report at `wall_us`,
+ * with or without counts. A window waits, up to its latest time, for entry
+ * instances that stopped reporting in it. */
 void usage_book_record_contact(usage_book_t *book, guint64 incarnation,
                                gint64 wall_us);
-/* A report of one start of an entry instance, all it counted of a window. */
+/* Applies a report of one incarnation of an entry instance: its counts of a
+ * window. */
 void usage_book_report(usage_book_t *book, guint64 incarnation,
                        const usage_window_t *window);
-/* The next window that is over and can be fixed by now, or NULL; it stays the
- * next until `fixed_through` says that it is fixed. To be freed. */
+/* Returns the next window that is over and can be finalized now, or NULL. It
+ * remains the next one until `finalized_through` covers it. Free it with
+ * usage_window_free. */
 usage_window_t *usage_book_next_final(usage_book_t *book,
                                       const usage_schedule_t *schedule,
                                       guint64 finalized_through,
                                       gint64 wall_us);
-/* The sums as they stand, of windows that are not fixed; usage_window_t *. */
+/* Returns the current sums of all windows that are not finalized;
+ * usage_window_t *. */
 GPtrArray *usage_book_pending(const usage_book_t *book);
 
 #endif
--- a/policy/duty_lease.c
+++ b/policy/duty_lease.c
@@ -2,12 +2,12 @@
 
 enum {
     MS = 1000,
-    /* From the check until the call has arrived: a round trip between data
-     * centres and a busy process. The next leader comes a tenth of the
-     * election timeout, 80 ms, later than the lease ends. */
+    /* Maximum time from the check to the arrival of the call: a round trip
+     * between data centres and a busy process. The next leader can start 80
+     * ms, a tenth of the election timeout, after the lease ends. */
     ARRIVAL_US = 40 * MS,
-    /* An instance that acted longer ago than so many times `apart_us` can not
-     * be the first of holder, other, holder. */
+    /* An instance whose last call is more than this many times
+     * `alternation_us` ago cannot be the first of A, B, A. */
     RECENT_CALL_FACTOR = 4,
 };
 
@@ -20,9 +20,9 @@
                             first_incarnation ? G_MININT64 : now_us};
 }
 
-/* An instance that acted lately and lost the lease may find that another acted
- * in between: it waits until its own last call is far enough back, counted
- * from now since the other may have acted until a moment ago. */
+/* After a recent call and the loss of the lease, another instance may have
+ * made calls in between. The instance then waits for `alternation_us`, counted
+ * from now, since the other instance may have made a call a moment ago. */
 static gint64
 start_delay_us(const duty_lease_t *l, gint64 now_us)
 {
--- a/policy/memory_bound.c
+++ b/policy/memory_bound.c
@@ -2,12 +2,13 @@
 
 enum {
     STREAM_BYTES_MAX = 128 * 1024,
-    /* Where many read slowly: some events of each. */
+    /* When many callers read slowly: a few events per stream. */
     STREAM_BYTES_CROWDED = 4 * 1024,
 };
 
-/* Parts of the memory. Bodies of requests have a quarter of their own. */
-static const double CROWDED_FRACTION = 0.1; /* beyond it each holds little */
+/* Fractions of the memory. Above CROWDED_FRACTION each stream buffers little.
+ * Request bodies have another quarter. */
+static const double CROWDED_FRACTION = 0.1;
 static const double ADMIT_FRACTION = 0.25;
 static const double BUFFERED_FRACTION = 0.4;
 
--- a/policy/site_clock.c
+++ b/policy/site_clock.c
@@ -1,19 +1,19 @@
 #include "carobloom/policy/site_clock.h"
 
 enum {
-    /* What was heard longer ago is left out: six words, so that a clock that
-     * was set is taken as it is now. */
+    /* Older samples are left out. This is the time of six reports, so that a
+     * clock that was adjusted counts with its new time. */
     SAMPLE_MAX_AGE_US = 3 * G_USEC_PER_SEC,
 };
 
-/* A clock as it was heard. */
+/* Last reading of an instance's clock. */
 typedef struct {
-    gint64 offset_us; /* its time of day less `now_us` */
+    gint64 offset_us; /* its time of day minus `now_us` */
     gint64 sampled_us;
 } clock_sample_t;
 
 struct site_clock {
-    GHashTable *samples; /* instance -> heard_clock_t */
+    GHashTable *samples; /* instance -> clock_sample_t */
 };
 
 site_clock_t *
@@ -72,8 +72,8 @@
         g_array_append_val(all, ((clock_sample_t *)value)->offset_us);
     }
     g_array_sort(all, by_value);
-    /* Of an even number the lower one: a mean of the two in the middle would
-     * let one that is wrong pull it. */
+    /* For an even number, the lower of the two in the middle: their mean would
+     * be shifted by one wrong clock. */
     gint64 median = g_array_index(all, gint64, (all->len - 1) / 2);
     g_array_unref(all);
     return now_us + median;
--- a/policy/sync_pace.c
+++ b/policy/sync_pace.c
@@ -1,22 +1,25 @@
 #include "carobloom/policy/sync_pace.h"
 
 enum {
-    /* Less often the more instances ask, so that the questions of 320 stay
-     * under 3 KB a second each. */
+    /* The wait grows with the number of entry instances, so that the polls of
+     * 320 instances stay under 3 KB per second each. */
     WAIT_MIN_MS = 600,
     WAIT_MAX_MS = 2000,
     WAIT_PER_ENTRY_MS = 20,
-    /* The leader is asked more often, since it confirms the configuration.
-     * With 320 instances that is 250 calls a second of 0.08 ms at it. */
+    /* The leader is polled more often, since it confirms the configuration.
+     * With 320 instances the leader gets 250 polls per second, which take 0.08
+     * ms each. */
     LEADER_WAIT_PER_ENTRY_MS = 4,
-    /* While nothing is confirmed or the other is only just back; at the
-     * leader's pace where many ask, or 291 instances without a configuration
-     * keep all control instances too busy to elect a leader. */
+    /* Minimum wait while the configuration is not confirmed or the polled
+     * instance has only just come back. With many entry instances the wait is
+     * that of polls at the leader: otherwise 291 instances without a
+     * configuration keep all control instances too busy to elect a leader. */
     UNHEALTHY_WAIT_MIN_MS = 100,
 };
 
-/* Of the bound for a withdrawn key: an instance whose configuration was last
- * confirmed half of it ago is not ready, and an answer may be late. */
+/* Fraction of the revocation bound. An entry instance is not ready once half
+ * of the bound has passed since its configuration was last confirmed, and an
+ * answer may be delayed. */
 static const double CONFIRM_FRACTION = 0.25;
 
 guint32
--- a/policy/usage_book.c
+++ b/policy/usage_book.c
@@ -2,27 +2,27 @@
 
 enum {
     MS = 1000,
-    /* After a window's end, for the last reports of it: entry instances tell
-     * several times a second, some twice a second where there are hundreds. */
+    /* Time after a window's end for its last reports. Entry instances report
+     * several times a second, or twice a second where there are hundreds. */
     WINDOW_SETTLE_US = 1500 * MS,
-    /* After this instance came to lead, for every entry instance to find it
-     * and tell what it counted. */
+    /* Time after this instance became the leader in which every entry instance
+     * finds it and reports its counts. */
     LEADER_SETTLE_US = 2500 * MS,
-    /* But a window is fixed so long before it is due, whoever has told by
-     * then. */
+    /* A window is finalized at the latest this long before its deadline, also
+     * without some of the reports. */
     DUE_MARGIN_US = 2500 * MS,
     INCARNATIONS_MAX = 4096,
 };
 
-/* One start of an entry instance. */
+/* One incarnation of an entry instance. */
 typedef struct {
     usage_tally_t *tally;
-    gint64 reported_us; /* its last report, by wall_us; 0: none */
+    gint64 reported_us; /* time of its last report, by wall_us; 0: none */
 } reporter_t;
 
 struct usage_book {
-    GHashTable *reporters;  /* incarnation -> teller_t */
-    gint64 leader_since_us; /* it leads since then */
+    GHashTable *reporters;  /* incarnation -> reporter_t */
+    gint64 leader_since_us; /* when this instance became the leader */
 };
 
 static void
@@ -56,7 +56,7 @@
     b->leader_since_us = wall_us;
 }
 
-/* Made when missing; NULL beyond the bound. */
+/* Returns a reporter, created if missing; NULL when there are too many. */
 static reporter_t *
 reporter_find(usage_book_t *b, guint64 incarnation)
 {
@@ -96,7 +96,7 @@
     }
 }
 
-/* Over all entry instances. */
+/* Returns the sums over all entry instances. */
 static usage_tally_t *
 sums_of(const usage_book_t *b)
 {
@@ -137,8 +137,9 @@
     }
 }
 
-/* The window after the last fixed one; the first that has a count where none
- * is fixed. FALSE when there is none. */
+/* Sets `window` to the one after the last finalized window, or to the first
+ * window with a count if none is finalized. Returns FALSE if there is no such
+ * window. */
 static gboolean
 next_window(const usage_book_t *b, guint64 finalized_through, guint64 *window)
 {
@@ -160,8 +161,8 @@
     return any;
 }
 
-/* After an outage of more windows than are kept, those that nobody can know
- * of are passed over. */
+/* After an outage of more windows than are kept, skips the windows that no
+ * entry instance has counts of any more. */
 static guint64
 skip_unreported(const usage_book_t *b, const usage_schedule_t *schedule,
                 guint64 finalized_through, guint64 window, gint64 wall_us)
@@ -175,9 +176,10 @@
     return next;
 }
 
-/* Whether an entry instance told something in this window or the one before,
- * and nothing since the window's end: it is cut off, or has ended. Its callers
- * were served meanwhile, and it tells of them when it is back. */
+/* Whether an entry instance reported in this window or the one before, but not
+ * since the window's end. Such an instance is cut off or has ended. If it is
+ * cut off, it served its callers meanwhile, and reports their requests when it
+ * is connected again. */
 static gboolean
 has_overdue_reporter(const usage_book_t *b, gint64 end_us, gint64 window_us)
 {
@@ -193,7 +195,7 @@
     return FALSE;
 }
 
-/* When a window can be fixed. */
+/* Time from which a window can be finalized. */
 static gint64
 finalize_time_us(const usage_book_t *b, const usage_schedule_t *schedule,
                  guint64 window)
--- a/policy/usage_ledger.c
+++ b/policy/usage_ledger.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/usage_ledger.h"
 
 struct usage_ledger {
-    GArray *windows; /* finalized_window_t, in order */
+    GArray *windows; /* finalized_window_t, by window */
     guint64 finalized_through;
 };
 
--- a/policy/usage_tally.c
+++ b/policy/usage_tally.c
@@ -22,7 +22,8 @@
     g_free(t);
 }
 
-/* The place of a count, made when missing; NULL beyond the bounds. */
+/* Returns a count, created if missing; NULL beyond the maximum number of
+ * windows or teams. */
 static guint64 *
 count_at(usage_tally_t *t, guint64 window, const char *team)
 {
