--- a/policy/usage_book.c
+++ b/policy/usage_book.c
@@ -8,8 +8,8 @@
     /* Time after this instance became the leader in which every entry instance
      * finds it and reports its counts. */
     LEADER_SETTLE_US = 2500 * MS,
-    /* A window is finalized at the latest this long before its deadline, also
-     * without some of the reports. */
+    /* A window is finalized at the latest this long before its deadline, even
+     * if reports are missing. */
     DUE_MARGIN_US = 2500 * MS,
     INCARNATIONS_MAX = 4096,
 };
