--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -138,8 +138,8 @@
     if (f->endpoint == NULL) {
         return;
     }
-    directory_request_end(f->entry->directory, f->endpoint,
-                          f->info.prompt_tokens);
+    directory_remove_request(f->entry->directory, f->endpoint,
+                             f->info.prompt_tokens);
     forward_end_wait(f);
     f->call = NULL;
     f->endpoint = NULL;
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -238,8 +238,8 @@
     f->found_running = endpoint_running(endpoint);
     f->found_waiting = endpoint_waiting(endpoint);
     f->waiting_tokens = placement->read_tokens;
-    directory_request_start(f->entry->directory, endpoint,
-                            f->info.prompt_tokens, f->waiting_tokens);
+    directory_add_request(f->entry->directory, endpoint, f->info.prompt_tokens,
+                          f->waiting_tokens);
     f->use->read_tokens += f->waiting_tokens;
     tell_parts(f, placement, request);
     for (guint i = 0; i < request->part_count; i++) {
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -89,7 +89,7 @@
             .arrived = use->arrived,
             .turned_away = use->turned_away,
             .read_tokens = use->read_tokens,
-            .tokens_a_ms = engine_model_tokens_a_ms(&use->engine),
+            .tokens_per_ms = engine_model_tokens_a_ms(&use->engine),
         };
         g_array_append_val(works, work);
     }
--- a/carobloomd/gateway/usage_wire.c
+++ b/carobloomd/gateway/usage_wire.c
@@ -73,7 +73,7 @@
         const service_work_t *w = &g_array_index(works, service_work_t, i);
         g_variant_builder_add(&b, "(sutttd)", w->service, w->running,
                               w->arrived, w->turned_away, w->read_tokens,
-                              w->tokens_a_ms);
+                              w->tokens_per_ms);
     }
     return g_variant_builder_end(&b);
 }
@@ -127,7 +127,7 @@
     gboolean sound = g_variant_iter_init(&iter, list) <= USAGE_WORKS_MAX;
     while (sound && g_variant_iter_next(&iter, "(sutttd)", &w.service,
                                         &w.running, &w.arrived, &w.turned_away,
-                                        &w.read_tokens, &w.tokens_a_ms)) {
+                                        &w.read_tokens, &w.tokens_per_ms)) {
         g_array_append_val(r->works, w);
     }
     g_variant_unref(list);
--- a/include/carobloom/policy/capacity_demand.h
+++ b/include/carobloom/policy/capacity_demand.h
@@ -9,11 +9,11 @@
  * instance. */
 typedef struct {
     char *service;
-    guint32 running;     /* its requests in flight at engines */
-    guint64 arrived;     /* requests for the service */
-    guint64 turned_away; /* times that a request found no free slot */
-    guint64 read_tokens; /* prompt tokens that engines had to prefill */
-    double tokens_a_ms;  /* estimated prefill speed of an engine */
+    guint32 running;      /* its requests in flight at engines */
+    guint64 arrived;      /* requests for the service */
+    guint64 turned_away;  /* times that a request found no free slot */
+    guint64 read_tokens;  /* prompt tokens that engines had to prefill */
+    double tokens_per_ms; /* estimated prefill speed of an engine */
 } service_work_t;
 
 /* Sum over the entry instances. Counters become rates per second, and the
@@ -23,7 +23,7 @@
     double arrived;
     double turned_away;
     double read_tokens;
-    double tokens_a_ms;
+    double tokens_per_ms;
     guint reporters; /* entry instances that report; 0: demand unknown */
 } service_demand_t;
 
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -105,10 +105,10 @@
 guint64 directory_visits(const directory_t *directory);
 /* A request of this instance starts or ends at an endpoint; see endpoint_join
  * and endpoint_leave. */
-void directory_request_start(directory_t *directory, endpoint_t *endpoint,
-                             guint prompt_tokens, guint waiting_tokens);
-void directory_request_end(directory_t *directory, endpoint_t *endpoint,
-                           guint prompt_tokens);
+void directory_add_request(directory_t *directory, endpoint_t *endpoint,
+                           guint prompt_tokens, guint waiting_tokens);
+void directory_remove_request(directory_t *directory, endpoint_t *endpoint,
+                              guint prompt_tokens);
 /* Returns a new array of endpoint_load_t: this instance's requests in
  * flight. */
 GArray *directory_loads(directory_t *directory);
--- a/policy/capacity_demand.c
+++ b/policy/capacity_demand.c
@@ -106,9 +106,9 @@
         sum.arrived += r->arrived;
         sum.turned_away += r->turned_away;
         sum.read_tokens += r->read_tokens;
-        sum.tokens_a_ms += r->last.tokens_a_ms;
+        sum.tokens_per_ms += r->last.tokens_per_ms;
     }
-    sum.tokens_a_ms /= MAX(sum.reporters, 1);
+    sum.tokens_per_ms /= MAX(sum.reporters, 1);
     return sum;
 }
 
--- a/policy/capacity_plan.c
+++ b/policy/capacity_plan.c
@@ -59,7 +59,7 @@
 static double
 needed_by_model(const service_demand_t *d, guint slots)
 {
-    double busy = d->read_tokens / MAX(d->tokens_a_ms * 1000, 1);
+    double busy = d->read_tokens / MAX(d->tokens_per_ms * 1000, 1);
     return MAX(busy / PREFILL_FRACTION_MAX, slots_needed(d, slots));
 }
 
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -455,15 +455,15 @@
 }
 
 void
-directory_request_start(directory_t *d, endpoint_t *e, guint prompt_tokens,
-                        guint waiting_tokens)
+directory_add_request(directory_t *d, endpoint_t *e, guint prompt_tokens,
+                      guint waiting_tokens)
 {
     endpoint_join(e, prompt_tokens, waiting_tokens);
     g_hash_table_add(d->active, e);
 }
 
 void
-directory_request_end(directory_t *d, endpoint_t *e, guint prompt_tokens)
+directory_remove_request(directory_t *d, endpoint_t *e, guint prompt_tokens)
 {
     endpoint_leave(e, prompt_tokens);
     if (e->running == 0) {
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -20,7 +20,7 @@
                            .arrived = arrived,
                            .turned_away = arrived / 10,
                            .read_tokens = arrived * 100,
-                           .tokens_a_ms = 60};
+                           .tokens_per_ms = 60};
     capacity_demand_record(demand, incarnation, &work, now_us);
 }
 
@@ -39,7 +39,7 @@
     CU_ASSERT(fabs(d.arrived - 60) < 2);
     CU_ASSERT(fabs(d.turned_away - 6) < 1);
     CU_ASSERT(fabs(d.read_tokens - 6000) < 200);
-    CU_ASSERT_EQUAL(d.tokens_a_ms, 60);
+    CU_ASSERT_EQUAL(d.tokens_per_ms, 60);
     note(demand, 3, 70, 5 * SECOND + MS); /* started again: no rate yet */
     d = capacity_demand_sum(demand, "s", 5 * SECOND + MS);
     CU_ASSERT(fabs(d.arrived - 60) < 2);
@@ -88,7 +88,7 @@
     return (service_demand_t){.running = running,
                               .arrived = arrived,
                               .read_tokens = arrived * 2000,
-                              .tokens_a_ms = 60,
+                              .tokens_per_ms = 60,
                               .reporters = 4};
 }
 
@@ -520,7 +520,7 @@
                                                   .reclaimable_fraction = 1};
     p->work.service = "s";
     p->work.running = p->jobs->len;
-    p->work.tokens_a_ms = c->tokens_a_ms;
+    p->work.tokens_per_ms = c->tokens_a_ms;
     capacity_demand_record(p->demand, 1, &p->work, plan_us(ms));
     service_demand_t demand = capacity_demand_sum(p->demand, "s", plan_us(ms));
     for (guint i = 0; i < PLACES; i++) {
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -138,7 +138,7 @@
         endpoint_load_t sum = {.endpoint = e->hash, .running = 2};
         g_array_append_val(sums, sum);
     }
-    directory_request_start(d, list->pdata[0], 500, 500);
+    directory_add_request(d, list->pdata[0], 500, 500);
     for (gint64 i = 1; i <= REPORTS; i++) {
         GArray *own = directory_loads(d);
         CU_ASSERT_EQUAL(own->len, 1);
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -429,7 +429,7 @@
                            .arrived = 9,
                            .turned_away = 2,
                            .read_tokens = 12000,
-                           .tokens_a_ms = 60};
+                           .tokens_per_ms = 60};
     g_array_append_val(report.works, work);
     engine_supply_t supply = {.service = g_strdup("a"),
                               .data_centre = g_strdup("dc"),
--- a/tests/test_endpoints.c
+++ b/tests/test_endpoints.c
@@ -549,12 +549,12 @@
     endpoint_lease_t lease = lease_of("e", 1, LEASE_READY);
     directory_update(d, 0, &lease, SECOND);
     endpoint_t *e = directory_find(d, "e");
-    directory_request_start(d, e, 0, 0);
+    directory_add_request(d, e, 0, 0);
     lease = lease_of("e", 2, LEASE_LEFT);
     directory_update(d, 0, &lease, SECOND);
     endpoint_limit_named(directory_limit(d, e), 2, SECOND, SECOND);
     CU_ASSERT_EQUAL(directory_limits(d)->len, 0);
-    directory_request_end(d, e, 0);
+    directory_remove_request(d, e, 0);
     directory_sweep(d, SECOND);
     CU_ASSERT_EQUAL(directory_limits(d)->len, 0);
     directory_destroy(d);
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -350,7 +350,7 @@
     }
     note_shared(p, engine, part, k->shared_tokens);
     note_sent(p, n, e, part);
-    directory_request_start(p->seen[n], e, k->prompt_tokens, r->waiting);
+    directory_add_request(p->seen[n], e, k->prompt_tokens, r->waiting);
     batch_engine_add(engine, &r->job);
     g_ptr_array_add(p->under_way, r);
 }
@@ -374,7 +374,8 @@
 {
     const request_kind_t *k = kind_of(p, r->kind);
     const engine_job_t *job = &r->job;
-    directory_request_end(p->seen[r->instance], r->endpoint, k->prompt_tokens);
+    directory_remove_request(p->seen[r->instance], r->endpoint,
+                             k->prompt_tokens);
     if (job->first_ms - job->sent_ms <= (double)k->target_ms &&
         job->longest_ms <= (double)k->pause_ms) {
         p->served[r->kind].in_aim++;
