--- a/include/carobloom/policy/capacity_demand.h
+++ b/include/carobloom/policy/capacity_demand.h
@@ -34,6 +34,7 @@
 /* Records a report of one incarnation of an entry instance. */
 void capacity_demand_record(capacity_demand_t *demand, guint64 incarnation,
                             const service_work_t *work, gint64 now_us);
+/* Returns the sum over the entry instances that reported recently. */
 service_demand_t capacity_demand_sum(const capacity_demand_t *demand,
                                      const char *service, gint64 now_us);
 /* Removes entry instances whose last report has timed out. */
--- a/include/carobloom/policy/capacity_plan.h
+++ b/include/carobloom/policy/capacity_plan.h
@@ -12,6 +12,7 @@
 
 #include "carobloom/policy/capacity_demand.h"
 
+/* Kinds of engines that can be ordered. */
 typedef enum {
     ENGINES_ON_DEMAND,
     ENGINES_RECLAIMABLE,
@@ -46,6 +47,7 @@
     double (*needed)(const service_demand_t *demand, guint slots);
 } capacity_estimator_t;
 
+/* Plan of one service over all data centres. */
 typedef struct {
     const capacity_estimator_t *estimator;
     double needed; /* estimate for the current demand */
@@ -60,6 +62,7 @@
 /* "model": estimates from the prefill work and the slots in use. "share":
  * estimates from the slots alone. Returns NULL for an unknown name. */
 const capacity_estimator_t *capacity_estimator_find(const char *name);
+/* Starts a plan without demand or engines. */
 void capacity_plan_init(capacity_plan_t *plan,
                         const capacity_estimator_t *estimator);
 /* Updates the plan for the current demand and sets `wanted` of each data
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -21,6 +21,7 @@
     DIRECTORY_SOURCES_MAX = 32, /* control instances; bits of a guint32 */
 };
 
+/* State of an endpoint as its lease gives it. */
 typedef enum {
     LEASE_READY,
     LEASE_DRAINING, /* takes no new work */
@@ -44,7 +45,9 @@
     gint64 cold_ms;       /* time from now during which it is slow */
 } endpoint_lease_t;
 
+/* Frees what the lease owns, not the lease. */
 void endpoint_lease_clear(endpoint_lease_t *lease);
+/* Copies `from` with its texts; `to` is overwritten. */
 void endpoint_lease_copy(endpoint_lease_t *to, const endpoint_lease_t *from);
 
 /* State of one incarnation of an endpoint. */
@@ -83,6 +86,7 @@
 /* Frees endpoints that have left or were replaced by a new incarnation, once
  * they run no request of this instance. */
 void directory_sweep(directory_t *directory, gint64 now_us);
+/* Returns the latest incarnation of an endpoint, or NULL. */
 endpoint_t *directory_find(directory_t *directory, const char *id);
 /* Endpoints of a service that have not left, as endpoint_t *, or NULL for an
  * unknown service. The order is the same on all instances. */
@@ -99,6 +103,7 @@
                                                 const char *id,
                                                 gint64 started_ms,
                                                 const char *address);
+/* Number of endpoint ids, including those that left but are not freed yet. */
 guint directory_count(const directory_t *directory);
 /* Number of endpoints visited so far to report and to sum loads: a measure of
  * the processor time that this takes. */
--- a/include/carobloom/policy/duty_lease.h
+++ b/include/carobloom/policy/duty_lease.h
@@ -10,6 +10,7 @@
 
 #include <glib.h>
 
+/* State of the lease; set it up with duty_lease_init. */
 typedef struct {
     gint64 alternation_us; /* the platform must not see calls of instances A, B
                               and A again within this time */
--- a/include/carobloom/policy/sync_pace.h
+++ b/include/carobloom/policy/sync_pace.h
@@ -5,6 +5,7 @@
 
 #include <glib.h>
 
+/* What determines how long a poll is held. */
 typedef struct {
     guint entries;    /* entry instances that poll */
     gboolean leads;   /* the polled instance confirms the configuration */
--- a/include/carobloom/policy/usage_tally.h
+++ b/include/carobloom/policy/usage_tally.h
@@ -13,6 +13,7 @@
     USAGE_TEAMS_MAX = 4096, /* per window */
 };
 
+/* Requests of one team in one window. */
 typedef struct {
     char *team;
     guint64 count;
@@ -39,6 +40,7 @@
 /* Adds the counts of one window of `from`. */
 void usage_tally_add_window(usage_tally_t *tally, const usage_tally_t *from,
                             guint64 window);
+/* Drops all windows up to and including `window`. */
 void usage_tally_drop_through(usage_tally_t *tally, guint64 window);
 /* Returns all windows in order; usage_window_t *, freed with the array. */
 GPtrArray *usage_tally_windows(const usage_tally_t *tally);
@@ -51,6 +53,7 @@
 usage_window_t *usage_window_create(guint64 window);
 void usage_window_add(usage_window_t *window, const char *team, guint64 count);
 void usage_window_free(usage_window_t *window);
+/* Sum over all teams. */
 guint64 usage_window_total(const usage_window_t *window);
 
 #endif
