--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -106,7 +106,7 @@
 /* ---- what ran there ---- */
 
 static void
-add_run(break_t *b, cut_run_t run)
+add_run(break_t *b, interrupted_run_t run)
 {
     if (b->end.runs->len >= ENDPOINT_RUNS_MAX) {
         counter_add(counter_get("cut_requests_dropped_total", NULL, FALSE), 1);
@@ -271,8 +271,9 @@
     }
     GString *list = g_string_new(NULL);
     for (guint i = 0; i < MIN(runs->len, LOGGED_RUNS); i++) {
-        char text[FINGERPRINT_TEXT];
-        fingerprint_text(g_array_index(runs, cut_run_t, i).fingerprint, text);
+        char text[FINGERPRINT_TEXT_SIZE];
+        fingerprint_format(
+            g_array_index(runs, interrupted_run_t, i).fingerprint, text);
         g_string_append_printf(list, "%s%s", i > 0 ? "," : "", text);
     }
     event_log_cstr("endpoint", b->end.endpoint);
@@ -308,7 +309,7 @@
 {
     const crash_watch_t *w = b->watch;
     gint64 age_us = now_us - b->broke_us;
-    start_state_t state = directory_start_state(
+    incarnation_state_t state = directory_incarnation_state(
         w->setup.directory, b->end.endpoint, b->end.started_ms, b->address);
     if (b->ended && b->news) {
         tell(b);
@@ -319,10 +320,10 @@
     if (b->ended) {
         return FALSE;
     }
-    if (state == START_LEAVES) {
+    if (state == INCARNATION_LEAVING) {
         return TRUE;
     }
-    if (state == START_REPLACED) {
+    if (state == INCARNATION_REPLACED) {
         note_evidence(b, "another start has its address");
     }
     if (b->evidence == NULL && !b->probed && age_us >= PROBE_US) {
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -81,7 +81,7 @@
         event_log_number("tried", f->placed.tried);
         event_log_number("full", f->placed.full);
         event_log_number("limited", f->placed.limited);
-        event_log_number("no_place", f->placed.no_place);
+        event_log_number("no_place", f->placed.no_slot);
         event_log_number("prompt_tokens", f->info.prompt_tokens);
     }
     if (f->first_us != 0) {
@@ -128,7 +128,8 @@
 void
 forward_end_wait(forward_t *f)
 {
-    endpoint_end_wait(f->endpoint, f->info.prompt_tokens, f->waiting_tokens);
+    endpoint_end_prefill(f->endpoint, f->info.prompt_tokens,
+                         f->waiting_tokens);
     f->waiting_tokens = 0;
 }
 
@@ -138,7 +139,8 @@
     if (f->endpoint == NULL) {
         return;
     }
-    directory_leave(f->entry->directory, f->endpoint, f->info.prompt_tokens);
+    directory_remove_request(f->entry->directory, f->endpoint,
+                             f->info.prompt_tokens);
     forward_end_wait(f);
     f->call = NULL;
     f->endpoint = NULL;
@@ -198,7 +200,7 @@
 static retry_after_t
 retry_after_of(const forward_t *f)
 {
-    if (f->held != NULL && f->held->doubted) {
+    if (f->held != NULL && f->held->uncertain) {
         return AFTER_DOUBT;
     }
     if (f->held != NULL) { /* sooner it would only be refused again */
@@ -422,12 +424,12 @@
     repeat_limits_t limits = entry_repeat_limits(e);
     f->use = entry_service(e, f->service);
     f->use->arrived++;
-    prompt_note_t note = {.prompt_tokens = f->info.prompt_tokens,
-                          .target_ms = f->route->target_ms,
-                          .pause_ms = f->route->pause_ms,
-                          .priority = f->route->priority};
-    prompt_mix_note(&f->use->prompts, note, forward_now(f));
-    repeat_budget_note_first(&f->use->budget, &limits, forward_now(f));
+    prompt_sample_t note = {.prompt_tokens = f->info.prompt_tokens,
+                            .target_ms = f->route->target_ms,
+                            .pause_ms = f->route->pause_ms,
+                            .priority = f->route->priority};
+    prompt_mix_record(&f->use->prompts, note, forward_now(f));
+    repeat_budget_record_first(&f->use->budget, &limits, forward_now(f));
     forward_send(f);
 }
 
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -13,7 +13,7 @@
 forward_note_endpoint(forward_t *f, endpoint_outcome_t outcome)
 {
     if (f->endpoint != NULL) {
-        endpoint_note(f->endpoint, outcome, forward_now(f));
+        endpoint_record_outcome(f->endpoint, outcome, forward_now(f));
     }
 }
 
@@ -116,7 +116,7 @@
     }
     double tokens = (double)f->found_waiting + f->waiting_tokens;
     double ms = (double)(forward_now(f) - f->sent_us) / MS;
-    engine_model_note_first(&f->use->engine, tokens, ms);
+    engine_model_record_first(&f->use->engine, tokens, ms);
 }
 
 static void
@@ -174,7 +174,7 @@
     counter_add(counter_get("answers_too_long_total", NULL, FALSE), 1);
     client_call_cancel(f->call);
     f->call = NULL;
-    forward_note_endpoint(f, ENDPOINT_BROKE);
+    forward_note_endpoint(f, ENDPOINT_BROKEN);
     f->runs++;
     forward_repeat(f, TRUE, reason);
 }
@@ -187,7 +187,7 @@
         answer_too_long(f, "the endpoint's answer is too long");
         return;
     }
-    if (!memory_gathers(entry_memory(e), entry_answers_held(e))) {
+    if (!memory_admits_buffered(entry_memory(e), entry_answers_held(e))) {
         answer_too_long(f, "no memory for the endpoint's answer");
         return;
     }
@@ -203,7 +203,7 @@
     const entry_t *e = f->entry;
     return f->begun &&
            http_exchange_backlog(f->exchange) >
-               memory_stream_most(entry_memory(e), entry_answers_held(e));
+               memory_stream_max(entry_memory(e), entry_answers_held(e));
 }
 
 static void
@@ -229,7 +229,7 @@
 finish_stream(forward_t *f)
 {
     if (!event_stream_at_boundary(&f->events)) {
-        forward_note_endpoint(f, ENDPOINT_BROKE);
+        forward_note_endpoint(f, ENDPOINT_BROKEN);
         f->runs++;
         forward_repeat(f, TRUE, "the stream ended within an event");
         return;
@@ -285,7 +285,7 @@
         return;
     }
     gboolean erred = f->status >= 500;
-    forward_note_endpoint(f, erred ? ENDPOINT_ERRED : ENDPOINT_SERVED);
+    forward_note_endpoint(f, erred ? ENDPOINT_SERVER_ERROR : ENDPOINT_SERVED);
     if (f->begun) {
         f->runs++;
         forward_repeat(f, TRUE, "a resumed stream was not taken up");
@@ -317,7 +317,7 @@
     gboolean arrived =
         failure != CALL_FAILED_UNSENT && failure != CALL_FAILED_REFUSED;
     forward_note_failure(f, failure);
-    forward_note_endpoint(f, arrived ? ENDPOINT_BROKE : ENDPOINT_UNREACHABLE);
+    forward_note_endpoint(f, arrived ? ENDPOINT_BROKEN : ENDPOINT_UNREACHABLE);
     f->runs += arrived;
     if (arrived) {
         forward_note_lost(f);
--- a/policy/prompt_mix.c
+++ b/policy/prompt_mix.c
@@ -2,103 +2,106 @@
 
 #include <math.h>
 
-/* A prompt of so many tokens holds an engine up for two chunks of its reading
- * or more, some 65 ms, a quarter of the shortest pause objective (250 ms). */
-static const guint LONG_TOKENS = 4000;
-/* A service that got no long prompt for so long is not parted. */
-static const gint64 LONG_REMEMBERED_US = 60 * G_USEC_PER_SEC;
-/* Until then an instance can not know whether it gets any: at 13 requests a
- * second, one in seven of them long, it would have met one. Without the
- * parting, chats begun in the first second share their engines with long
- * prompts to their end and miss their deadline (48 of 2,120 on a heavy day of
- * 9 engines). */
-static const gint64 LONG_UNKNOWN_US = 10 * G_USEC_PER_SEC;
+/* A prompt of this size occupies an engine for at least two chunks of reading,
+ * about 65 ms, which is a quarter of the shortest pause objective (250 ms). */
+static const guint LONG_PROMPT_MIN_TOKENS = 4000;
+/* Without a long prompt for this long, a service is not partitioned. */
+static const gint64 LONG_PROMPT_EXPIRY_US = 60 * G_USEC_PER_SEC;
+/* For this long after its first request, an instance can't know whether it
+ * will get long prompts: at 13 requests a second, one in seven of them long,
+ * one would have arrived by then. Without a partition, chats that begin in the
+ * first second share their engines with long prompts until they end, and miss
+ * their deadline (48 of 2,120 chats on 9 engines under heavy load). */
+static const gint64 LONG_PROMPT_DETECTION_US = 10 * G_USEC_PER_SEC;
 
 gboolean
 prompt_is_long(guint prompt_tokens)
 {
-    return prompt_tokens >= LONG_TOKENS;
+    return prompt_tokens >= LONG_PROMPT_MIN_TOKENS;
 }
 
-/* What came counts for about so long. */
-static const double ARRIVALS_S = 1.5;
+/* Time constant of the decay of arrivals. */
+static const double ARRIVALS_DECAY_S = 1.5;
 
-/* Of the newest prompt in the mean: an instance among 300 gets one long prompt
- * a second. */
+/* Weight of the latest prompt in the mean. One of 300 instances gets one long
+ * prompt a second. */
 static const double MEAN_WEIGHT = 0.05;
 
 static double
-remembered(const prompt_kind_t *kind, gint64 now_us)
+decay_since_last(const prompt_kind_t *kind, gint64 now_us)
 {
-    double age_s = (double)(now_us - kind->at_us) / G_USEC_PER_SEC;
-    return exp(-age_s / ARRIVALS_S);
+    double age_s = (double)(now_us - kind->last_us) / G_USEC_PER_SEC;
+    return exp(-age_s / ARRIVALS_DECAY_S);
 }
 
 static void
-note_kind(prompt_kind_t *kind, prompt_note_t note, gint64 now_us)
+record_kind(prompt_kind_t *kind, prompt_sample_t sample, gint64 now_us)
 {
-    gboolean first = kind->at_us == 0;
-    double kept = first ? 0 : remembered(kind, now_us);
-    kind->arrivals = kind->arrivals * kept + 1;
-    kind->tokens = kind->tokens * kept + note.prompt_tokens;
+    gboolean first = kind->last_us == 0;
+    double decay = first ? 0 : decay_since_last(kind, now_us);
+    kind->arrivals = kind->arrivals * decay + 1;
+    kind->tokens = kind->tokens * decay + sample.prompt_tokens;
     kind->mean_tokens +=
-        first ? note.prompt_tokens
-              : MEAN_WEIGHT * (note.prompt_tokens - kind->mean_tokens);
-    kind->at_us = now_us;
-    kind->target_ms = note.target_ms;
+        first ? sample.prompt_tokens
+              : MEAN_WEIGHT * (sample.prompt_tokens - kind->mean_tokens);
+    kind->last_us = now_us;
+    kind->target_ms = sample.target_ms;
     kind->priority =
-        first ? note.priority : MIN(kind->priority, note.priority);
+        first ? sample.priority : MIN(kind->priority, sample.priority);
 }
 
 void
-prompt_mix_note(prompt_mix_t *mix, prompt_note_t note, gint64 now_us)
+prompt_mix_record(prompt_mix_t *mix, prompt_sample_t sample, gint64 now_us)
 {
     if (mix->first_us == 0) {
         mix->first_us = now_us;
     }
-    if (prompt_is_long(note.prompt_tokens)) {
-        note_kind(&mix->of_long, note, now_us);
+    if (prompt_is_long(sample.prompt_tokens)) {
+        record_kind(&mix->long_prompts, sample, now_us);
         return;
     }
-    note_kind(&mix->of_rest, note, now_us);
-    if (note.pause_ms > 0 &&
-        (mix->rest_pause_ms == 0 || note.pause_ms < mix->rest_pause_ms)) {
-        mix->rest_pause_ms = note.pause_ms;
+    record_kind(&mix->short_prompts, sample, now_us);
+    if (sample.pause_ms > 0 &&
+        (mix->short_prompt_pause_ms == 0 ||
+         sample.pause_ms < mix->short_prompt_pause_ms)) {
+        mix->short_prompt_pause_ms = sample.pause_ms;
     }
 }
 
 double
 prompt_mix_long_tokens(const prompt_mix_t *mix)
 {
-    return mix->of_long.mean_tokens;
+    return mix->long_prompts.mean_tokens;
 }
 
 gboolean
-prompt_mix_parted(const prompt_mix_t *mix, gint64 now_us)
+prompt_mix_needs_partition(const prompt_mix_t *mix, gint64 now_us)
 {
-    if (mix->of_long.at_us != 0) {
-        return now_us - mix->of_long.at_us < LONG_REMEMBERED_US;
+    if (mix->long_prompts.last_us != 0) {
+        return now_us - mix->long_prompts.last_us < LONG_PROMPT_EXPIRY_US;
     }
-    return now_us - mix->first_us < LONG_UNKNOWN_US;
+    return now_us - mix->first_us < LONG_PROMPT_DETECTION_US;
 }
 
 static void
-fill_kind(const prompt_kind_t *kind, guint instances, gint64 now_us,
-          kind_load_t *load)
+fill_kind_load(const prompt_kind_t *kind, guint instances, gint64 now_us,
+               kind_load_t *load)
 {
-    double arrivals = kind->arrivals * remembered(kind, now_us);
+    double arrivals = kind->arrivals * decay_since_last(kind, now_us);
     load->target_ms = kind->target_ms;
     load->priority = kind->priority;
-    load->a_second = instances * arrivals / ARRIVALS_S;
+    load->arrivals_per_s = instances * arrivals / ARRIVALS_DECAY_S;
     load->prompt_tokens =
         kind->arrivals > 0 ? kind->tokens / kind->arrivals : 0;
 }
 
 void
-prompt_mix_fill(const prompt_mix_t *mix, guint instances, gint64 now_us,
-                split_demand_t *demand)
+prompt_mix_fill_demand(const prompt_mix_t *mix, guint instances, gint64 now_us,
+                       split_demand_t *demand)
 {
-    fill_kind(&mix->of_long, instances, now_us, &demand->of_long);
-    fill_kind(&mix->of_rest, instances, now_us, &demand->of_rest);
-    demand->of_rest.pause_ms = mix->rest_pause_ms;
+    fill_kind_load(&mix->long_prompts, instances, now_us,
+                   &demand->long_prompts);
+    fill_kind_load(&mix->short_prompts, instances, now_us,
+                   &demand->short_prompts);
+    demand->short_prompts.pause_ms = mix->short_prompt_pause_ms;
 }
--- a/policy/repeat_budget.c
+++ b/policy/repeat_budget.c
@@ -1,12 +1,11 @@
 #include "carobloom/policy/repeat_budget.h"
 
-/* Of what an instance may spend by its own count it spends this part: an
- * instance added or one that is slow to hear of others must not break the
- * sum. */
-static const double PRUDENCE = 0.7;
+/* An instance spends only this fraction of its budget, so that a new instance,
+ * or one that learns of others late, doesn't push the sum over the budget. */
+static const double SAFETY_FRACTION = 0.7;
 
-/* The part of the window that the slots cover; the oldest is cleared as a new
- * one begins. */
+/* Moves to the slot of the current time, and clears the slots in between. They
+ * held counts that are now older than the window. */
 static void
 advance(repeat_budget_t *b, const repeat_limits_t *limits, gint64 now_us)
 {
@@ -31,8 +30,8 @@
 }
 
 void
-repeat_budget_note_first(repeat_budget_t *b, const repeat_limits_t *limits,
-                         gint64 now_us)
+repeat_budget_record_first(repeat_budget_t *b, const repeat_limits_t *limits,
+                           gint64 now_us)
 {
     advance(b, limits, now_us);
     b->firsts[b->slot % REPEAT_BUDGET_SLOTS]++;
@@ -45,7 +44,7 @@
     advance(b, limits, now_us);
     double allowed =
         limits->ratio * sum(b->firsts) + limits->slack / MAX(instances, 1);
-    if (sum(b->repeats) + 1 > allowed * PRUDENCE) {
+    if (sum(b->repeats) + 1 > allowed * SAFETY_FRACTION) {
         return FALSE;
     }
     b->repeats[b->slot % REPEAT_BUDGET_SLOTS]++;
--- a/policy/sse.c
+++ b/policy/sse.c
@@ -15,7 +15,8 @@
     sse->pending = NULL;
 }
 
-/* Length of the event at the start of `s` with its blank line, or 0. */
+/* Length of the event at the start of `s` including its blank line, 0 if it is
+ * incomplete. */
 static gsize
 event_length(str_t s)
 {
@@ -38,7 +39,8 @@
     return 0;
 }
 
-/* Appends the value of each data line of `event` to `out`. */
+/* Appends the values of the data lines of `event` to `out`, joined by
+ * newlines. */
 static void
 collect_data(str_t event, GString *out)
 {
@@ -75,7 +77,7 @@
     int result =
         fn((str_t){.data = data->str, .length = data->len}, raw, user);
     g_string_free(data, TRUE);
-    return result == 0 ? SSE_OK : SSE_ERROR_STOP;
+    return result == 0 ? SSE_OK : SSE_ERROR_STOPPED;
 }
 
 int
@@ -96,7 +98,7 @@
     }
     g_string_erase(sse->pending, 0, (gssize)at);
     if (result == SSE_OK && sse->pending->len > SSE_EVENT_MAX) {
-        return SSE_ERROR_LONG;
+        return SSE_ERROR_TOO_LONG;
     }
     return result;
 }
--- a/policy/voter_codec.c
+++ b/policy/voter_codec.c
@@ -74,10 +74,11 @@
         g_variant_builder_add(&entries, "(tty@ay)", e->index, e->term,
                               (guchar)e->kind, bytes_variant(e->data));
     }
-    return codec_write(g_variant_new(
-        "(ytttttttba(ttyay)@a(tbs)@ay)", (guchar)m->kind, m->from, m->to,
-        m->term, m->index, m->log_term, m->commit, m->round, m->granted,
-        &entries, config_variant(&m->config), bytes_variant(m->snapshot)));
+    return codec_write(
+        g_variant_new("(ytttttttba(ttyay)@a(tbs)@ay)", (guchar)m->kind,
+                      m->from, m->to, m->term, m->index, m->log_term,
+                      m->commit_index, m->send_time_us, m->granted, &entries,
+                      config_variant(&m->config), bytes_variant(m->snapshot)));
 }
 
 static GBytes *
@@ -110,7 +111,7 @@
                                .kind = (entry_kind_t)kind,
                                .data = bytes_of(data)};
         g_ptr_array_add(entries, entry);
-        /* Entries follow the previous one without a gap. */
+        /* Entry indices must follow the previous one without a gap. */
         ok = kind < ENTRY_KIND_COUNT && entry->index == ++previous;
     }
     if (!ok) {
@@ -133,12 +134,12 @@
     GVariantIter *config;
     GVariant *snapshot;
     g_variant_get(v, "(ytttttttba(ttyay)a(tbs)@ay)", &kind, &m->from, &m->to,
-                  &m->term, &m->index, &m->log_term, &m->commit, &m->round,
-                  &m->granted, &entries, &config, &snapshot);
+                  &m->term, &m->index, &m->log_term, &m->commit_index,
+                  &m->send_time_us, &m->granted, &entries, &config, &snapshot);
     m->kind = (voter_message_kind_t)kind;
     m->entries = read_entries(entries, m->index);
     m->snapshot = bytes_of(snapshot);
-    gboolean ok = kind < VOTER_MESSAGE_KINDS && m->entries != NULL &&
+    gboolean ok = kind < VOTER_MESSAGE_KIND_COUNT && m->entries != NULL &&
                   config_from_iter(config, &m->config);
     g_variant_iter_free(entries);
     g_variant_iter_free(config);
--- a/policy/voter_repair.c
+++ b/policy/voter_repair.c
@@ -3,13 +3,15 @@
 #include <string.h>
 
 enum {
-    /* In election timeouts (0.8 s in the gateway): a voter not heard of for so
-     * long gives its place to the newcomer. Sooner than the 4 s after which
-     * the platform takes a newcomer for caught up and the next machine may
-     * lose its disk: until then three voters of four must stay. */
-    DEAD_ELECTIONS = 4,
-    FRESH_ELECTIONS = 2,
-    VOTERS_LEAST = 3,
+    /* A member without contact for this many election timeouts (0.8 s each in
+     * the gateway) counts as dead. It must be removed within the 4 s after
+     * which the platform assumes that a new member has caught up and the next
+     * machine may lose its disk: until the removal the quorum is three of
+     * four, so no other member may fail. */
+    DEAD_ELECTION_TIMEOUTS = 4,
+    /* All other members must have made contact within this time. */
+    RECENT_ELECTION_TIMEOUTS = 2,
+    VOTERS_MIN = 3,
 };
 
 gboolean
@@ -24,9 +26,9 @@
     return FALSE;
 }
 
-/* The other identity under the same name, or 0. */
+/* Returns the id of another member with the same name, or 0. */
 static guint64
-old_identity(const voter_config_t *config, const char *name, guint64 id)
+find_previous_id(const voter_config_t *config, const char *name, guint64 id)
 {
     for (guint i = 0; i < config->count; i++) {
         const voter_member_t *m = &config->members[i];
@@ -51,26 +53,26 @@
     voter_config_t config = *voter_config(voter);
     voter_member_t *member = (voter_member_t *)voter_config_find(&config, id);
     if (member && !member->learner) {
-        return voter_config_pending(voter) ? REPAIR_WAITING : REPAIR_WHOLE;
+        return voter_config_pending(voter) ? REPAIR_PENDING : REPAIR_DONE;
     }
-    guint64 old = old_identity(&config, name, id);
+    guint64 previous_id = find_previous_id(&config, name, id);
     if (member == NULL) {
         if (config.count >= VOTER_MEMBERS_MAX) {
-            return REPAIR_WAITING;
+            return REPAIR_PENDING;
         }
         add_learner(&config, name, id);
     }
-    else if (voter_match(voter, id) < voter_commit(voter)) {
-        return REPAIR_WAITING;
+    else if (voter_match_index(voter, id) < voter_commit_index(voter)) {
+        return REPAIR_PENDING;
     }
-    else if (old != 0) {
-        voter_config_remove(&config, old);
+    else if (previous_id != 0) {
+        voter_config_remove(&config, previous_id);
     }
     else {
         member->learner = FALSE;
     }
-    int result = voter_change(voter, &config, now_us);
-    return result == VOTER_OK ? REPAIR_CHANGED : REPAIR_WAITING;
+    int result = voter_propose_config(voter, &config, now_us);
+    return result == VOTER_OK ? REPAIR_PROPOSED : REPAIR_PENDING;
 }
 
 guint64
@@ -78,26 +80,29 @@
                          gint64 now_us)
 {
     voter_config_t config = *voter_config(voter);
-    gint64 election_us = voter_election_us(voter);
-    guint64 dead = 0;
-    if (voter_config_pending(voter) || config.count <= VOTERS_LEAST ||
+    gint64 election_timeout_us = voter_election_timeout_us(voter);
+    guint64 dead_id = 0;
+    if (voter_config_pending(voter) || config.count <= VOTERS_MIN ||
         config.count % 2 == 1) {
         return 0;
     }
     for (guint i = 0; i < config.count; i++) {
-        if (silent_us[i] > DEAD_ELECTIONS * election_us && dead != 0) {
+        if (silent_us[i] > DEAD_ELECTION_TIMEOUTS * election_timeout_us &&
+            dead_id != 0) {
             return 0;
         }
-        if (silent_us[i] > DEAD_ELECTIONS * election_us) {
-            dead = config.members[i].id;
+        if (silent_us[i] > DEAD_ELECTION_TIMEOUTS * election_timeout_us) {
+            dead_id = config.members[i].id;
         }
-        else if (silent_us[i] > FRESH_ELECTIONS * election_us) {
+        else if (silent_us[i] >
+                 RECENT_ELECTION_TIMEOUTS * election_timeout_us) {
             return 0;
         }
     }
-    if (dead == 0) {
+    if (dead_id == 0) {
         return 0;
     }
-    voter_config_remove(&config, dead);
-    return voter_change(voter, &config, now_us) == VOTER_OK ? dead : 0;
+    voter_config_remove(&config, dead_id);
+    return voter_propose_config(voter, &config, now_us) == VOTER_OK ? dead_id
+                                                                    : 0;
 }
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -64,9 +64,9 @@
     for (guint i = 0; i < list->len; i++) {
         endpoint_t *e = list->pdata[i];
         for (guint64 part = 1; part <= parts; part++) {
-            directory_note_part(d, e, part);
+            directory_record_part(d, e, part);
         }
-        bytes += e->parts.count * sizeof(*e->parts.places);
+        bytes += e->parts.count * sizeof(*e->parts.buckets);
     }
     directory_destroy(d);
     return bytes;
@@ -107,13 +107,13 @@
     for (gsize i = 0; i < G_N_ELEMENTS(HELD); i++) {
         gsize held = HELD[i].held;
         CU_ASSERT_EQUAL(memory_admits(MEMORY, held), HELD[i].admits);
-        CU_ASSERT_EQUAL(memory_gathers(MEMORY, held), HELD[i].gathers);
-        CU_ASSERT_EQUAL(memory_stream_most(MEMORY, held), HELD[i].stream_most);
+        CU_ASSERT_EQUAL(memory_admits_buffered(MEMORY, held), HELD[i].gathers);
+        CU_ASSERT_EQUAL(memory_stream_max(MEMORY, held), HELD[i].stream_most);
     }
     /* All connections' streams, read by nobody. */
     gsize held = 0;
     for (guint i = 0; i < CONNECTIONS; i++) {
-        held += memory_stream_most(MEMORY, held);
+        held += memory_stream_max(MEMORY, held);
     }
     CU_ASSERT(memory_admits(MEMORY, held));
 }
@@ -138,13 +138,13 @@
         endpoint_load_t sum = {.endpoint = e->hash, .running = 2};
         g_array_append_val(sums, sum);
     }
-    directory_join(d, list->pdata[0], 500, 500);
+    directory_add_request(d, list->pdata[0], 500, 500);
     for (gint64 i = 1; i <= REPORTS; i++) {
         GArray *own = directory_loads(d);
         CU_ASSERT_EQUAL(own->len, 1);
-        directory_take_loads(d, sums, own);
+        directory_apply_loads(d, sums, own);
         split_demand_t demand = directory_demand(d, "s", i * REPORT_US);
-        CU_ASSERT_EQUAL(demand.of_rest.running, 2 * BUSY);
+        CU_ASSERT_EQUAL(demand.short_prompts.running, 2 * BUSY);
         CU_ASSERT_EQUAL(demand.engines, endpoints);
         g_array_unref(own);
     }
@@ -174,7 +174,7 @@
     guint tellings = 0;
     guint told = 0;
     for (guint i = 1; i <= entries; i++) {
-        guint now = collector_entries_told(i);
+        guint now = collector_entries_rounded(i);
         CU_ASSERT(now <= i && now >= i - i / 16);
         tellings += now != told;
         told = now;
@@ -204,8 +204,8 @@
         for (gsize j = 0; j < G_N_ELEMENTS(BOUNDS_MS); j++) {
             sync_pace_t pace = {.entries = ENTRIES[i],
                                 .leads = TRUE,
-                                .sound = TRUE,
-                                .bound_ms = BOUNDS_MS[j]};
+                                .healthy = TRUE,
+                                .revocation_bound_ms = BOUNDS_MS[j]};
             CU_ASSERT(sync_wait_ms(&pace) <= 0.25 * BOUNDS_MS[j]);
             pace.leads = FALSE;
             CU_ASSERT(sync_wait_ms(&pace) <= 2000);
@@ -246,7 +246,7 @@
     while (cursor < registry_cursor(r)) {
         sync_answer_t answer = {.data_centre = "dc"};
         answer.leases =
-            registry_since(r, cursor, SYNC_LEASES_MAX, &answer.cursor);
+            registry_changes_since(r, cursor, SYNC_LEASES_MAX, &answer.cursor);
         CU_ASSERT_FATAL(answer.cursor > cursor);
         GBytes *written = sync_answer_write(&answer);
         CU_ASSERT(g_bytes_get_size(written) <= ANSWER_BYTES);
@@ -276,7 +276,7 @@
     enum { MESSAGE_BYTES = 80, ASK_BYTES = 56, ASKS = 4 };
     limit_report_t report = {
         .from = "front-data-centre-1",
-        .asks = g_array_new(FALSE, TRUE, sizeof(limit_ask_t))};
+        .asks = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
     directory_t *d = directory_of(SMALL);
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
@@ -285,18 +285,18 @@
                                .rate = 2};
         limit_change_t change;
         const endpoint_t *e =
-            directory_take_limit(d, &state, &change, 1 * SECOND);
-        CU_ASSERT_FATAL(e != NULL && change == LIMIT_FIRST);
+            directory_apply_limit(d, &state, &change, 1 * SECOND);
+        CU_ASSERT_FATAL(e != NULL && change == LIMIT_BEGUN);
         if (i < ASKS) {
-            endpoint_limit_deny(e->limit, 2 * SECOND);
+            endpoint_limit_record_denied(e->limit, 2 * SECOND);
         }
     }
     for (guint i = 0; i < directory_limits(d)->len; i++) {
         endpoint_t *e = directory_limits(d)->pdata[i];
-        if (endpoint_limit_has_wants(e->limit, 2 * SECOND) ||
-            endpoint_limit_has_news(e->limit)) {
-            limit_ask_t ask = {.endpoint = e->hash};
-            endpoint_limit_ask(e->limit, &ask, 2 * SECOND);
+        if (endpoint_limit_needs_grants(e->limit, 2 * SECOND) ||
+            endpoint_limit_has_update(e->limit)) {
+            limit_request_t ask = {.endpoint = e->hash};
+            endpoint_limit_fill_request(e->limit, &ask, 2 * SECOND);
             g_array_append_val(report.asks, ask);
         }
     }
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -1,5 +1,4 @@
-/* Placement over the requests of one service: which endpoint takes which
- * prompt. */
+/* Tests placement: which endpoint of one service gets which prompt. */
 #include <string.h>
 
 #include "carobloom/policy/directory.h"
@@ -34,13 +33,13 @@
     guint tokens;
     guint64 shared; /* id of the shared part; 0: none */
     guint shared_tokens;
-    gboolean parted;
+    gboolean partitioned;
     guint32 draw;
-    guint unknown_sharers;
-    double fetch_tokens_a_ms;
+    guint load_scale;
+    double fetch_tokens_per_ms;
     gint64 memory_tokens;
-    double long_part; /* 0: 0.6 */
-    gint64 target_ms; /* 0: 2000 */
+    double long_fraction; /* 0: 0.6 */
+    gint64 target_ms;     /* 0: 2000 */
     double long_tokens;
     gboolean yields;
 } place_case_t;
@@ -54,14 +53,14 @@
         .parts = parts,
         .part_count = c.shared != 0 ? 2 : 0,
         .prompt_tokens = c.tokens,
-        .parted = c.parted,
-        .long_part = c.long_part > 0 ? c.long_part : 0.6,
+        .partitioned = c.partitioned,
+        .long_fraction = c.long_fraction > 0 ? c.long_fraction : 0.6,
         .long_tokens = c.long_tokens,
         .target_ms = c.target_ms > 0 ? c.target_ms : 2000,
-        .rest_pause_ms = 250,
-        .tokens_a_ms = 50,
-        .unknown_sharers = c.unknown_sharers,
-        .fetch_tokens_a_ms = c.fetch_tokens_a_ms,
+        .short_prompt_pause_ms = 250,
+        .tokens_per_ms = 50,
+        .load_scale = c.load_scale,
+        .fetch_tokens_per_ms = c.fetch_tokens_per_ms,
         .memory_tokens = c.memory_tokens,
         .data_centre = "dc",
         .yields = c.yields,
@@ -72,19 +71,19 @@
 
 static endpoint_t *
 place(directory_t *d, guint tokens, guint64 shared, guint shared_tokens,
-      gboolean parted, guint32 draw)
+      gboolean partitioned, guint32 draw)
 {
     place_case_t c = {.tokens = tokens,
                       .shared = shared,
                       .shared_tokens = shared_tokens,
-                      .parted = parted,
+                      .partitioned = partitioned,
                       .draw = draw};
     return place_of(d, c).endpoint;
 }
 
-/* Long and short prompts meet on no engine while neither side is loaded. */
+/* Long and short prompts share no engine while neither partition is loaded. */
 static void
-test_sides(void)
+test_partitions(void)
 {
     directory_t *d = engines_create();
     GHashTable *with_long = g_hash_table_new(NULL, NULL);
@@ -96,11 +95,11 @@
         endpoint_t *e = place(d, 800, 0, 0, TRUE, draw);
         CU_ASSERT_FALSE(g_hash_table_contains(with_long, e));
     }
-    /* 0.6 of 18 are eleven. */
+    /* 0.6 of 18 engines is eleven. */
     CU_ASSERT(g_hash_table_size(with_long) >= 10);
     CU_ASSERT(g_hash_table_size(with_long) <= 11);
-    /* With all their engines loaded far over their objective, long prompts
-     * may go among the short ones. */
+    /* Once all their engines are loaded far beyond their objective, long
+     * prompts may go to engines for short prompts. */
     GHashTableIter iter;
     gpointer key;
     g_hash_table_iter_init(&iter, with_long);
@@ -113,16 +112,16 @@
     directory_destroy(d);
 }
 
-/* Requests of one session go to one engine, at all instances, until it is
- * loaded. */
+/* Requests of one session go to the same engine at all instances, until that
+ * engine is loaded. */
 static void
 test_affinity(void)
 {
     directory_t *d = engines_create();
-    directory_t *elsewhere = engines_create();
+    directory_t *other = engines_create();
     for (guint64 session = 1; session < 50; session++) {
         endpoint_t *e = place(d, 12000, session, 5000, TRUE, 3);
-        endpoint_t *same = place(elsewhere, 12000, session, 5000, TRUE, 11);
+        endpoint_t *same = place(other, 12000, session, 5000, TRUE, 11);
         CU_ASSERT_STRING_EQUAL(e->id, same->id);
     }
     endpoint_t *home = place(d, 12000, 7, 5000, TRUE, 3);
@@ -132,21 +131,22 @@
     home->draining = TRUE;
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     directory_destroy(d);
-    directory_destroy(elsewhere);
+    directory_destroy(other);
 }
 
-/* Failing endpoints are left, and still used when there is no other. */
+/* Failing endpoints are avoided, but still used when there is no other. */
 static void
 test_failing(void)
 {
     directory_t *d = engines_create();
     endpoint_t *first = place(d, 0, 0, 0, FALSE, 5);
-    endpoint_note(first, ENDPOINT_UNREACHABLE, 2 * SECOND);
+    endpoint_record_outcome(first, ENDPOINT_UNREACHABLE, 2 * SECOND);
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 0, 0, 0, FALSE, 5), first);
     for (int i = 0; i < ENGINES; i++) {
         char id[16];
         g_snprintf(id, sizeof(id), "engine-%d", i);
-        endpoint_note(directory_find(d, id), ENDPOINT_UNREACHABLE, 2 * SECOND);
+        endpoint_record_outcome(directory_find(d, id), ENDPOINT_UNREACHABLE,
+                                2 * SECOND);
     }
     CU_ASSERT_PTR_NOT_NULL(place(d, 0, 0, 0, FALSE, 5));
     for (int i = 0; i < ENGINES; i++) {
@@ -161,18 +161,18 @@
     directory_destroy(d);
 }
 
-/* A burst of long prompts: so many are taken as an engine ends in time, the
- * others are not, and short prompts still find a place. */
+/* In a burst of long prompts, an engine accepts as many as finish in time and
+ * rejects the others, and short prompts still find a slot. */
 static void
-test_places(void)
+test_slots(void)
 {
     directory_t *d = engines_create();
-    guint taken = 0;
+    guint accepted = 0;
     for (guint32 draw = 0; draw < 500; draw++) {
         endpoint_t *e = place(d, 12000, 1 + draw % 40, 5000, TRUE, draw);
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
-            taken++;
+            endpoint_add_request(e, 12000, 0);
+            accepted++;
         }
     }
     GPtrArray *engines = (GPtrArray *)directory_service(d, "s");
@@ -180,114 +180,118 @@
         const endpoint_t *e = engines->pdata[i];
         CU_ASSERT(e->running <= 0.85 * e->slots + 1);
     }
-    CU_ASSERT(taken < 500);
-    CU_ASSERT(taken >= ENGINES * SLOTS / 4);
+    CU_ASSERT(accepted < 500);
+    CU_ASSERT(accepted >= ENGINES * SLOTS / 4);
     CU_ASSERT_PTR_NULL(place(d, 12000, 3, 5000, TRUE, 9));
-    place_case_t refused = {
-        .tokens = 12000, .shared = 3, .shared_tokens = 5000, .parted = TRUE};
+    place_case_t refused = {.tokens = 12000,
+                            .shared = 3,
+                            .shared_tokens = 5000,
+                            .partitioned = TRUE};
     placement_counts_t counts = place_of(d, refused).counts;
     CU_ASSERT_EQUAL(counts.known, ENGINES);
-    CU_ASSERT_EQUAL(counts.no_place, ENGINES);
+    CU_ASSERT_EQUAL(counts.no_slot, ENGINES);
     CU_ASSERT_STRING_EQUAL(placement_reason(&counts), "all places are taken");
     CU_ASSERT_PTR_NOT_NULL(place(d, 800, 0, 0, TRUE, 9));
     directory_destroy(d);
 }
 
-/* Away from where its shared parts are, a prompt takes them from there over
- * the engines' links; the other way round when they may be elsewhere. */
+/* A prompt that is not placed at a home of its shared parts fetches them from
+ * the home. With a failing home, it fetches them elsewhere. */
 static void
 test_fetching(void)
 {
-    static const double LINK = 800; /* tokens a ms */
+    static const double LINK = 800; /* tokens per ms */
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 12000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
+                      .partitioned = TRUE,
                       .draw = 3};
     endpoint_t *home = place_of(d, c).endpoint;
-    CU_ASSERT_PTR_NULL(place_of(d, c).source); /* engines that do not fetch */
-    c.fetch_tokens_a_ms = LINK;
+    CU_ASSERT_PTR_NULL(place_of(d, c).source); /* engines don't fetch */
+    c.fetch_tokens_per_ms = LINK;
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
     home->running = SLOTS;
-    placement_t away = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(away.endpoint, home);
-    CU_ASSERT_PTR_EQUAL(away.source, home);
-    CU_ASSERT_EQUAL(away.read_tokens, 7000);
-    /* One that fails is not asked: the next keeper is, and no third. */
+    placement_t placed = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(placed.endpoint, home);
+    CU_ASSERT_PTR_EQUAL(placed.source, home);
+    CU_ASSERT_EQUAL(placed.read_tokens, 7000);
+    /* A failing home is not fetched from: the fallback home is, and no third
+     * endpoint. */
     home->failures = 0.5;
-    away = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(away.source, home);
+    placed = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(placed.source, home);
     c.shared = 0;
     c.shared_tokens = 0;
     CU_ASSERT_PTR_NULL(place_of(d, c).source);
     directory_destroy(d);
 }
 
-/* Long prompts that share no part have no home: every engine of their side
- * takes as many as a home does. */
+/* Long prompts without a shared part have no home: every engine of their
+ * partition accepts as many as a home does. */
 static void
-test_places_without_home(void)
+test_slots_without_home(void)
 {
     directory_t *d = engines_create();
-    guint taken = 0;
+    guint accepted = 0;
     for (guint32 n = 0; n < 1000; n++) {
-        place_case_t c = {.tokens = 12000, .parted = TRUE, .draw = n};
+        place_case_t c = {.tokens = 12000, .partitioned = TRUE, .draw = n};
         endpoint_t *e = place_of(d, c).endpoint;
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
-            taken++;
+            endpoint_add_request(e, 12000, 0);
+            accepted++;
         }
     }
-    CU_ASSERT(taken >= (guint)(0.6 * ENGINES * 0.85 * SLOTS));
+    CU_ASSERT(accepted >= (guint)(0.6 * ENGINES * 0.85 * SLOTS));
     directory_destroy(d);
 }
 
-/* A burst of prompts on engines whose slots would hold more than their memory:
- * the tokens bound them, so large prompts take more of the places. */
+/* A burst of prompts on engines with slots for more tokens than fit into their
+ * memory: the tokens bound what is accepted, so fewer large prompts than small
+ * ones are. */
 static void
-test_places_by_memory(void)
+test_slots_by_memory(void)
 {
     enum { MEMORY = 560000, REQUESTS = 1000 };
     static const guint TOKENS[] = {6000, 12000, 24000, 50000};
     guint before = G_MAXUINT;
     for (gsize i = 0; i < G_N_ELEMENTS(TOKENS); i++) {
         directory_t *d = engines_create();
-        guint taken = 0;
+        guint accepted = 0;
         for (guint32 n = 0; n < REQUESTS; n++) {
             place_case_t c = {.tokens = TOKENS[i],
                               .shared = 1 + n % 40,
                               .shared_tokens = 5000,
-                              .parted = TRUE,
+                              .partitioned = TRUE,
                               .draw = n,
                               .memory_tokens = MEMORY};
             endpoint_t *e = place_of(d, c).endpoint;
             if (e != NULL) {
                 CU_ASSERT(e->prompt_tokens <= 0.6 * MEMORY);
-                endpoint_join(e, TOKENS[i], 0);
-                taken++;
+                endpoint_add_request(e, TOKENS[i], 0);
+                accepted++;
             }
         }
-        CU_ASSERT(taken <= before);
-        CU_ASSERT(taken >= 3 * ENGINES / 2);
-        before = taken;
+        CU_ASSERT(accepted <= before);
+        CU_ASSERT(accepted >= 3 * ENGINES / 2);
+        before = accepted;
         directory_destroy(d);
     }
 }
 
-/* What all instances keep in an engine's memory counts, as told with the
- * loads; while these are not known, as much for each as this one keeps there.
- */
+/* The prompt tokens of all instances count against an engine's memory, as
+ * reported with the loads. While the loads are unknown, every instance is
+ * assumed to have as many tokens there as this one. */
 static void
 test_memory_of_all(void)
 {
     enum { MEMORY = 560000, OWN = 50000, FULL_OTHERS = 300000 };
     static const struct {
         const char *name;
-        guint32 others; /* tokens of the other instances */
-        guint sharers;  /* while loads are not known; 0: they are */
-        gboolean stays;
+        guint32 others;   /* tokens of the other instances */
+        guint load_scale; /* 0: loads are known */
+        gboolean stays_home;
     } MEMORIES[] = {
         {"this one alone", 0, 0, TRUE},
         {"all together too much", FULL_OTHERS, 0, FALSE},
@@ -299,37 +303,37 @@
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .memory_tokens = MEMORY,
-                          .unknown_sharers = MEMORIES[i].sharers};
+                          .load_scale = MEMORIES[i].load_scale};
         endpoint_t *home = place_of(d, c).endpoint;
-        endpoint_join(home, OWN, 0);
+        endpoint_add_request(home, OWN, 0);
         home->others.prompt_tokens = MEMORIES[i].others;
-        gboolean stays = place_of(d, c).endpoint == home;
-        if (stays != MEMORIES[i].stays) {
-            printf("%s: stays %d\n", MEMORIES[i].name, stays);
+        gboolean stays_home = place_of(d, c).endpoint == home;
+        if (stays_home != MEMORIES[i].stays_home) {
+            printf("%s: stays %d\n", MEMORIES[i].name, stays_home);
         }
-        CU_ASSERT_EQUAL(stays, MEMORIES[i].stays);
+        CU_ASSERT_EQUAL(stays_home, MEMORIES[i].stays_home);
         directory_destroy(d);
     }
 }
 
-/* The home is left for a queue that would make the first event late, not for
- * a shorter one; both as the others tell. */
+/* A prompt leaves its home for a queue that would make the first event late,
+ * but not for a shorter queue. Both queues are known from reports only. */
 static void
 test_queue_at_home(void)
 {
     static const struct {
         guint32 waiting; /* tokens of the other instances' prompts */
-        gboolean stays;
+        gboolean stays_home;
     } QUEUES[] = {{0, TRUE}, {40000, TRUE}, {80000, FALSE}};
     for (gsize i = 0; i < G_N_ELEMENTS(QUEUES); i++) {
         directory_t *d = engines_create();
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
-                          .fetch_tokens_a_ms = 800};
+                          .partitioned = TRUE,
+                          .fetch_tokens_per_ms = 800};
         endpoint_t *home = place_of(d, c).endpoint;
         endpoint_load_t sum = {.endpoint = home->hash,
                                .running = 5,
@@ -339,57 +343,59 @@
         GArray *sums = g_array_new(FALSE, FALSE, sizeof(sum));
         GArray *own = g_array_new(FALSE, FALSE, sizeof(sum));
         g_array_append_val(sums, sum);
-        directory_take_loads(d, sums, own);
+        directory_apply_loads(d, sums, own);
         CU_ASSERT_EQUAL(home->others.prompt_tokens, 60000);
-        CU_ASSERT_EQUAL(place_of(d, c).endpoint == home, QUEUES[i].stays);
+        CU_ASSERT_EQUAL(place_of(d, c).endpoint == home, QUEUES[i].stays_home);
         g_array_unref(sums);
         g_array_unref(own);
         directory_destroy(d);
     }
 }
 
-/* A burst while no control instance passes loads on: eight instances that
- * know their own requests only still take no more than the engines can end. */
+/* A burst while no control instance passes on loads: eight instances that know
+ * only their own requests still accept no more than the engines finish in
+ * time. */
 static void
-test_places_without_loads(void)
+test_slots_without_loads(void)
 {
     enum { INSTANCES = 8, REQUESTS = 800 };
-    directory_t *seen[INSTANCES];
-    guint taken[ENGINES] = {0};
+    directory_t *directories[INSTANCES];
+    guint accepted[ENGINES] = {0};
     guint sum = 0;
     for (guint i = 0; i < INSTANCES; i++) {
-        seen[i] = engines_create();
+        directories[i] = engines_create();
     }
     for (guint32 n = 0; n < REQUESTS; n++) {
         place_case_t c = {.tokens = 12000,
                           .shared = 1 + n % 40,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .draw = n,
-                          .unknown_sharers = INSTANCES};
-        endpoint_t *e = place_of(seen[n % INSTANCES], c).endpoint;
+                          .load_scale = INSTANCES};
+        endpoint_t *e = place_of(directories[n % INSTANCES], c).endpoint;
         if (e != NULL) {
-            endpoint_join(e, 12000, 0);
-            taken[atoi(e->id + strlen("engine-"))]++;
+            endpoint_add_request(e, 12000, 0);
+            accepted[atoi(e->id + strlen("engine-"))]++;
             sum++;
         }
-        /* A short prompt is not refused by the coarse count. */
+        /* The coarse estimate does not reject short prompts. */
         c.tokens = 800;
         c.shared = 0;
         c.shared_tokens = 0;
-        CU_ASSERT_PTR_NOT_NULL(place_of(seen[n % INSTANCES], c).endpoint);
+        CU_ASSERT_PTR_NOT_NULL(
+            place_of(directories[n % INSTANCES], c).endpoint);
     }
     for (guint i = 0; i < ENGINES; i++) {
         /* Each instance rounds up by one. */
-        CU_ASSERT(taken[i] <= 0.85 * SLOTS + INSTANCES);
+        CU_ASSERT(accepted[i] <= 0.85 * SLOTS + INSTANCES);
     }
     CU_ASSERT(sum >= ENGINES * SLOTS / 4);
     for (guint i = 0; i < INSTANCES; i++) {
-        directory_destroy(seen[i]);
+        directory_destroy(directories[i]);
     }
 }
 
-/* What the other instances run counts against the places. */
+/* The requests of other instances use up slots. */
 static void
 test_loads_of_others(void)
 {
@@ -401,11 +407,11 @@
     GArray *owns = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
     g_array_append_val(sums, sum);
     g_array_append_val(owns, own);
-    directory_take_loads(d, sums, owns);
+    directory_apply_loads(d, sums, owns);
     CU_ASSERT_EQUAL(home->others.running, SLOTS - 1);
     CU_ASSERT_PTR_NOT_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     g_array_set_size(sums, 0);
-    directory_take_loads(d, sums, owns);
+    directory_apply_loads(d, sums, owns);
     CU_ASSERT_EQUAL(home->others.running, 0);
     CU_ASSERT_PTR_EQUAL(place(d, 12000, 7, 5000, TRUE, 3), home);
     g_array_unref(sums);
@@ -413,7 +419,8 @@
     directory_destroy(d);
 }
 
-/* One that refuses all looks idle; it is left for longer each time. */
+/* An endpoint that refuses all requests looks idle; it is avoided for longer
+ * after each refusal. */
 static void
 test_refusing(void)
 {
@@ -422,22 +429,22 @@
     gint64 now = SECOND;
     guint tries = 0;
     while (now < 61 * SECOND) {
-        if (endpoint_open(e, now)) {
-            endpoint_note(e, ENDPOINT_FULL, now);
+        if (endpoint_available(e, now)) {
+            endpoint_record_outcome(e, ENDPOINT_FULL, now);
             tries++;
         }
         now += 10000;
     }
     CU_ASSERT(tries <= 30);
-    endpoint_note(e, ENDPOINT_SERVED, now);
+    endpoint_record_outcome(e, ENDPOINT_SERVED, now);
     now = e->full_until_us;
-    endpoint_note(e, ENDPOINT_FULL, now);
-    CU_ASSERT(endpoint_open(e, now + SECOND / 2));
+    endpoint_record_outcome(e, ENDPOINT_FULL, now);
+    CU_ASSERT(endpoint_available(e, now + SECOND / 2));
     directory_destroy(d);
 }
 
-/* A long prompt keeps away from streams that its reading would hold up; off
- * its side it goes only where nothing would be. */
+/* A long prompt avoids engines where reading it would delay streams. Outside
+ * its partition it goes only to engines where it delays none. */
 static void
 test_pauses_guarded(void)
 {
@@ -445,75 +452,75 @@
     place_case_t c = {.tokens = 12000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
+                      .partitioned = TRUE,
                       .target_ms = 500,
-                      .fetch_tokens_a_ms = 800};
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
-    home->running = 20; /* streams that are not long */
+    home->running = 20; /* streams of short prompts */
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
     home->long_running = 20;
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     const GPtrArray *engines = directory_service(d, "s");
     for (guint i = 0; i < engines->len; i++) {
         endpoint_t *e = engines->pdata[i];
-        gboolean on_side = i < (guint)(0.6 * ENGINES + 0.5);
-        e->running = on_side ? SLOTS : 1;
-        e->long_running = on_side ? SLOTS : 0;
+        gboolean in_partition = i < (guint)(0.6 * ENGINES + 0.5);
+        e->running = in_partition ? SLOTS : 1;
+        e->long_running = in_partition ? SLOTS : 0;
     }
     CU_ASSERT_PTR_NULL(place_of(d, c).endpoint);
     directory_destroy(d);
 }
 
-/* A home that is full leaves to the next keeper what that reads within the
- * objective, and to no engine beyond. */
+/* A full home leaves to the fallback home the prompts that the latter reads
+ * within their objective, and leaves none to other engines. */
 static void
-test_next_keeper(void)
+test_fallback_home(void)
 {
     static const struct {
         gint64 target_ms;
-        guint least; /* requests that run at the next keeper in the end */
-        guint most;
+        guint min_running; /* at the fallback home in the end */
+        guint max_running;
     } OBJECTIVES[] = {{500, 4, 5}, {2000, 14, 15}, {8000, 27, 28}};
     for (gsize i = 0; i < G_N_ELEMENTS(OBJECTIVES); i++) {
         directory_t *d = engines_create();
         place_case_t c = {.tokens = 12000,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
+                          .partitioned = TRUE,
                           .target_ms = OBJECTIVES[i].target_ms,
-                          .fetch_tokens_a_ms = 800};
+                          .fetch_tokens_per_ms = 800};
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
         home->long_running = SLOTS;
-        endpoint_t *next = place_of(d, c).endpoint;
-        endpoint_t *e = next;
-        while (e == next) {
-            endpoint_join(e, 12000, 0);
+        endpoint_t *fallback = place_of(d, c).endpoint;
+        endpoint_t *e = fallback;
+        while (e == fallback) {
+            endpoint_add_request(e, 12000, 0);
             e = place_of(d, c).endpoint;
         }
-        CU_ASSERT(next->running >= OBJECTIVES[i].least);
-        CU_ASSERT(next->running <= OBJECTIVES[i].most);
+        CU_ASSERT(fallback->running >= OBJECTIVES[i].min_running);
+        CU_ASSERT(fallback->running <= OBJECTIVES[i].max_running);
         directory_destroy(d);
     }
 }
 
-/* When the border moves over a prompt's home, the next one fetches the shared
- * parts from there. */
+/* When the partition boundary moves across a prompt's home, the new home
+ * fetches the shared parts from the former one. */
 static void
 test_former_home(void)
 {
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 12000,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
-                      .fetch_tokens_a_ms = 800};
+                      .partitioned = TRUE,
+                      .fetch_tokens_per_ms = 800};
     guint moved = 0;
     for (guint64 part = 1; part <= 60; part++) {
         c.shared = part;
-        c.long_part = 0.9;
+        c.long_fraction = 0.9;
         endpoint_t *before = place_of(d, c).endpoint;
-        directory_note_part(d, before, part);
-        c.long_part = 0.3;
+        directory_record_part(d, before, part);
+        c.long_fraction = 0.3;
         placement_t after = place_of(d, c);
         if (after.endpoint != before) {
             CU_ASSERT_PTR_EQUAL(after.source, before);
@@ -524,10 +531,11 @@
     directory_destroy(d);
 }
 
-/* A large prompt finds with the next keeper what typical ones find; reckoned
- * with its own reading it would find it full at two requests. */
+/* The fallback home accepts a large prompt where it accepts typical ones. If
+ * the bound followed from the size of the large prompt, the fallback home
+ * would count as full with two requests. */
 static void
-test_large_at_next_keeper(void)
+test_large_at_fallback_home(void)
 {
     enum { LARGE = 60000, TYPICAL = 12000, RUNNING = 8 };
     for (int known = 0; known < 2; known++) {
@@ -535,79 +543,80 @@
         place_case_t c = {.tokens = LARGE,
                           .shared = 7,
                           .shared_tokens = 5000,
-                          .parted = TRUE,
-                          .fetch_tokens_a_ms = 800,
+                          .partitioned = TRUE,
+                          .fetch_tokens_per_ms = 800,
                           .long_tokens = known ? TYPICAL : 0};
         endpoint_t *home = place_of(d, c).endpoint;
         home->running = SLOTS;
         home->long_running = SLOTS;
-        endpoint_t *next = place_of(d, c).endpoint;
-        next->running = RUNNING;
-        next->long_running = RUNNING;
+        endpoint_t *fallback = place_of(d, c).endpoint;
+        fallback->running = RUNNING;
+        fallback->long_running = RUNNING;
         endpoint_t *e = place_of(d, c).endpoint;
-        CU_ASSERT_EQUAL(e == next, known);
+        CU_ASSERT_EQUAL(e == fallback, known);
         directory_destroy(d);
     }
 }
 
-/* The home of a part drains: the next home fetches the part from it while it
- * lends its memory, and from others once it does not. */
+/* When the home of a part drains, the next home fetches the part from it while
+ * its memory can be fetched from, and from other endpoints afterwards. */
 static void
-test_fetch_from_leaving(void)
+test_fetch_from_draining(void)
 {
     enum { LEAVES_MS = 2200 };
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 9000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .fetch_tokens_a_ms = 800};
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     endpoint_lease_t lease = lease_of(home->id, 2, LEASE_DRAINING);
     lease.slots = SLOTS;
     lease.reclaimable = TRUE;
     lease.leaves_ms = LEAVES_MS;
     directory_update(d, 0, &lease, SECOND);
-    placement_t next = place_of(d, c);
-    CU_ASSERT_PTR_NOT_EQUAL(next.endpoint, home);
-    CU_ASSERT_PTR_EQUAL(next.source, home);
-    CU_ASSERT_EQUAL(next.read_tokens, 4000);
-    CU_ASSERT(endpoint_lends(home, SECOND + SECOND));
-    CU_ASSERT_FALSE(endpoint_lends(home, SECOND + LEAVES_MS * 1000));
-    home->lends_until_us = 0;
+    placement_t fallback = place_of(d, c);
+    CU_ASSERT_PTR_NOT_EQUAL(fallback.endpoint, home);
+    CU_ASSERT_PTR_EQUAL(fallback.source, home);
+    CU_ASSERT_EQUAL(fallback.read_tokens, 4000);
+    CU_ASSERT(endpoint_fetchable(home, SECOND + SECOND));
+    CU_ASSERT_FALSE(endpoint_fetchable(home, SECOND + LEAVES_MS * 1000));
+    home->fetchable_until_us = 0;
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, home);
     directory_destroy(d);
 }
 
-/* An engine that others sent the part to is asked for it, also where the ranks
- * say another; one that fails is not. */
+/* A part is fetched from an engine that other instances reported as having
+ * been sent the part, even if the ranking suggests another engine, unless that
+ * engine fails. */
 static void
-test_fetch_from_holder(void)
+test_fetch_from_source(void)
 {
     directory_t *d = engines_create();
     place_case_t c = {.tokens = 9000,
                       .shared = 7,
                       .shared_tokens = 5000,
-                      .parted = TRUE,
-                      .long_part = 0.5,
-                      .fetch_tokens_a_ms = 800};
+                      .partitioned = TRUE,
+                      .long_fraction = 0.5,
+                      .fetch_tokens_per_ms = 800};
     endpoint_t *home = place_of(d, c).endpoint;
     const GPtrArray *list = directory_service(d, "s");
-    endpoint_t *holder = list->pdata[list->len - 1];
-    CU_ASSERT_PTR_NOT_EQUAL(holder, home);
-    GArray *notes = g_array_new(FALSE, FALSE, sizeof(part_note_t));
-    part_note_t note = {.part = 7, .endpoint = holder->hash};
-    g_array_append_val(notes, note);
-    directory_take_parts(d, notes);
-    CU_ASSERT(endpoint_has_part(holder, 7));
-    CU_ASSERT_PTR_EQUAL(place_of(d, c).source, holder);
-    holder->failures = 0.5;
-    CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, holder);
-    g_array_unref(notes);
+    endpoint_t *source = list->pdata[list->len - 1];
+    CU_ASSERT_PTR_NOT_EQUAL(source, home);
+    GArray *copies = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
+    part_copy_t copy = {.part = 7, .endpoint = source->hash};
+    g_array_append_val(copies, copy);
+    directory_apply_parts(d, copies);
+    CU_ASSERT(endpoint_has_part(source, 7));
+    CU_ASSERT_PTR_EQUAL(place_of(d, c).source, source);
+    source->failures = 0.5;
+    CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).source, source);
+    g_array_unref(copies);
     directory_destroy(d);
 }
 
-/* An endpoint that gets a part for the first time has the part before it,
- * which more prompts share, from one that surely keeps that. */
+/* An endpoint that gets a part for the first time fetches the preceding part,
+ * which more prompts share, from an endpoint that was sent it. */
 static void
 test_fetch_prefix(void)
 {
@@ -619,27 +628,27 @@
                                    .part_count = G_N_ELEMENTS(parts),
                                    .prompt_tokens = 2400,
                                    .target_ms = 500,
-                                   .tokens_a_ms = 61,
-                                   .fetch_tokens_a_ms = 800,
+                                   .tokens_per_ms = 61,
+                                   .fetch_tokens_per_ms = 800,
                                    .data_centre = "dc"};
     placement_t first = placement_pick(list, &request, 0);
-    CU_ASSERT_FALSE(first.prefix_held);
+    CU_ASSERT_FALSE(first.prefix_cached);
     endpoint_t *other = list->pdata[first.endpoint == list->pdata[0]];
-    directory_note_part(d, other, PREFIX);
+    directory_record_part(d, other, PREFIX);
     placement_t then = placement_pick(list, &request, 0);
-    CU_ASSERT(then.prefix_held);
+    CU_ASSERT(then.prefix_cached);
     CU_ASSERT_PTR_EQUAL(then.endpoint, first.endpoint);
     CU_ASSERT_PTR_EQUAL(then.source, other);
-    /* One that keeps all of it is better. */
+    /* A source of the whole prefix is preferred. */
     endpoint_t *whole = list->pdata[list->len - 1];
     CU_ASSERT_PTR_NOT_EQUAL(whole, first.endpoint);
-    directory_note_part(d, whole, THING);
+    directory_record_part(d, whole, THING);
     CU_ASSERT_PTR_EQUAL(placement_pick(list, &request, 0).source, whole);
     directory_destroy(d);
 }
 
-/* Of many idle endpoints an instance uses few, to which it has connections;
- * one that is busy is left for another. */
+/* Of many idle endpoints, an instance uses the few that it has connections to,
+ * and another one when these are busy. */
 static void
 test_connections_used(void)
 {
@@ -654,7 +663,7 @@
             .target_ms = 150, .data_centre = "dc", .draw = n * 7};
         endpoint_t *e = placement_pick(list, &request, now_us).endpoint;
         connections += !endpoint_connected(e, now_us);
-        endpoint_note(e, ENDPOINT_SERVED, now_us);
+        endpoint_record_outcome(e, ENDPOINT_SERVED, now_us);
         g_hash_table_add(used, e);
     }
     CU_ASSERT_EQUAL(connections, 1);
@@ -662,24 +671,25 @@
     gint64 now_us = SECOND + REQUESTS * (gint64)GAP_US;
     placement_request_t request = {.target_ms = 150, .data_centre = "dc"};
     endpoint_t *e = placement_pick(list, &request, now_us).endpoint;
-    endpoint_join(e, 0, 0);
+    endpoint_add_request(e, 0, 0);
     CU_ASSERT_PTR_NOT_EQUAL(placement_pick(list, &request, now_us).endpoint,
                             e);
     g_hash_table_unref(used);
     directory_destroy(d);
 }
 
-/* Short prompts that share a part go to its keepers, whatever is drawn, while
- * these are no more loaded than others; a crowded one is left. */
+/* Short prompts that share a part go to its homes, whatever sample is drawn,
+ * while these are no more loaded than others. A home without a free slot is
+ * avoided. */
 static void
-test_short_at_keepers(void)
+test_short_at_homes(void)
 {
     directory_t *d = engines_create();
     GHashTable *used = g_hash_table_new(NULL, NULL);
     for (guint32 draw = 0; draw < 100; draw++) {
         g_hash_table_add(used, place(d, 800, 77, 400, TRUE, draw));
     }
-    CU_ASSERT(g_hash_table_size(used) <= KEEPERS_MAX);
+    CU_ASSERT(g_hash_table_size(used) <= PART_HOMES_MAX);
     endpoint_t *home = place(d, 800, 77, 400, TRUE, 1);
     home->running = SLOTS;
     CU_ASSERT_NOT_EQUAL(place(d, 800, 77, 400, TRUE, 1), home);
@@ -687,8 +697,8 @@
     directory_destroy(d);
 }
 
-/* A home that named a limit is left for the next while no send is granted, and
- * is found again with one, or once the limit is lifted. */
+/* A home that named a limit is skipped while no send is granted, and is used
+ * again once one is granted or the limit ends. */
 static void
 test_limited_home(void)
 {
@@ -697,7 +707,7 @@
     place_case_t c = {.tokens = 12000, .shared = 7, .shared_tokens = 5000};
     endpoint_t *home = place_of(d, c).endpoint;
     endpoint_limit_t *limit = directory_limit(d, home);
-    endpoint_limit_named(limit, 2, SECOND, SECOND);
+    endpoint_limit_record_rate(limit, 2, SECOND, SECOND);
     for (c.draw = 0; c.draw < DRAWS; c.draw++) {
         placement_t other = place_of(d, c);
         CU_ASSERT_PTR_NOT_EQUAL(other.endpoint, home);
@@ -706,31 +716,32 @@
     }
     limit_grant_t grant = {.state = {.limited = TRUE, .rate = 2},
                            .granted = 1};
-    endpoint_limit_granted(limit, &grant, 2 * SECOND, 2 * SECOND);
+    endpoint_limit_apply_grant(limit, &grant, 2 * SECOND, 2 * SECOND);
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     c.yields = TRUE;
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
     c.yields = FALSE;
-    endpoint_limit_spend(limit, 1, 2 * SECOND);
+    endpoint_limit_record_send(limit, 1, 2 * SECOND);
     CU_ASSERT_PTR_NOT_EQUAL(place_of(d, c).endpoint, home);
-    endpoint_limit_absent(limit, 2 * SECOND);
+    endpoint_limit_record_unlimited(limit, 2 * SECOND);
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, home);
     directory_destroy(d);
 }
 
-/* Requests that a limit kept from the only endpoint that was well went one
- * after the other to those that had failed. */
+/* Requests that a limit keeps from the only healthy endpoint must not be sent
+ * to failing endpoints instead, one after the other. */
 static void
 test_limited_beside_closed(void)
 {
     directory_t *d = engines_create();
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 1; i < all->len; i++) {
-        ((endpoint_t *)all->pdata[i])->closed_until_us = 30 * SECOND;
+        ((endpoint_t *)all->pdata[i])->backoff_until_us = 30 * SECOND;
     }
     place_case_t c = {.tokens = 800};
     CU_ASSERT_PTR_EQUAL(place_of(d, c).endpoint, all->pdata[0]);
-    endpoint_limit_named(directory_limit(d, all->pdata[0]), 2, SECOND, SECOND);
+    endpoint_limit_record_rate(directory_limit(d, all->pdata[0]), 2, SECOND,
+                               SECOND);
     placement_t none = place_of(d, c);
     CU_ASSERT_PTR_NULL(none.endpoint);
     CU_ASSERT_PTR_EQUAL(none.denied, all->pdata[0]);
@@ -738,22 +749,23 @@
     directory_destroy(d);
 }
 
-/* Endpoints that have no send granted take nothing, and it is said why. */
+/* Endpoints without a granted send accept nothing, and the rejection names the
+ * reason. */
 static void
 test_all_limited(void)
 {
     directory_t *d = engines_create();
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
-        endpoint_limit_named(directory_limit(d, all->pdata[i]), 2, SECOND,
-                             SECOND);
+        endpoint_limit_record_rate(directory_limit(d, all->pdata[i]), 2,
+                                   SECOND, SECOND);
     }
     place_case_t c = {.tokens = 800};
     placement_t none = place_of(d, c);
     CU_ASSERT_PTR_NULL(none.endpoint);
     CU_ASSERT_EQUAL(none.counts.limited, ENGINES);
     CU_ASSERT(placement_is_limited(&none.counts));
-    placement_counts_t full = {.known = 18, .limited = 1, .no_place = 17};
+    placement_counts_t full = {.known = 18, .limited = 1, .no_slot = 17};
     CU_ASSERT_FALSE(placement_is_limited(&full));
     CU_ASSERT_STRING_EQUAL(placement_reason(&none.counts),
                            "the limits that the endpoints named are spent");
@@ -761,25 +773,25 @@
 }
 
 static const test_case_t CASES[] = {
-    {"short prompts at the keepers of their part", test_short_at_keepers},
-    {"a large prompt at the next keeper", test_large_at_next_keeper},
+    {"short prompts at the keepers of their part", test_short_at_homes},
+    {"a large prompt at the next keeper", test_large_at_fallback_home},
     {"pauses guarded from long prompts", test_pauses_guarded},
-    {"what a full home leaves to the next keeper", test_next_keeper},
+    {"what a full home leaves to the next keeper", test_fallback_home},
     {"a home on the other side of the border", test_former_home},
-    {"long prompts and short ones are kept apart", test_sides},
+    {"long prompts and short ones are kept apart", test_partitions},
     {"sessions stay where their prompts are", test_affinity},
     {"failing endpoints are left", test_failing},
-    {"long prompts take so many places", test_places},
+    {"long prompts take so many places", test_slots},
     {"prompts fetched from another engine", test_fetching},
-    {"parts fetched from whom the others sent them", test_fetch_from_holder},
+    {"parts fetched from whom the others sent them", test_fetch_from_source},
     {"connections are used again", test_connections_used},
     {"the part before one that is new", test_fetch_prefix},
-    {"parts fetched from an engine that leaves", test_fetch_from_leaving},
-    {"places of prompts without a home", test_places_without_home},
-    {"places by an engine's memory", test_places_by_memory},
+    {"parts fetched from an engine that leaves", test_fetch_from_draining},
+    {"places of prompts without a home", test_slots_without_home},
+    {"places by an engine's memory", test_slots_by_memory},
     {"an engine's memory is that of all instances", test_memory_of_all},
     {"a queue at a prompt's home", test_queue_at_home},
-    {"places without word of the others", test_places_without_loads},
+    {"places without word of the others", test_slots_without_loads},
     {"loads of the other instances", test_loads_of_others},
     {"an endpoint that refuses all", test_refusing},
     {"a home that named a limit", test_limited_home},
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,4 +1,5 @@
-/* The pure parts: strings, queues, quantiles, limits, life, events. */
+/* Tests of the pure modules: heap, quantiles, limits, rendezvous hashing,
+ * server-sent events, request lifecycle, and timers. */
 #include <string.h>
 
 #include "carobloom/common/timers.h"
@@ -65,7 +66,7 @@
 }
 
 static void
-test_bucket_says_when(void)
+test_bucket_wait(void)
 {
     bucket_t b = {0};
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, 0), 0);
@@ -75,7 +76,7 @@
     CU_ASSERT(bucket_take(&b, 10, 2, 1, wait - 1000) > 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, wait), 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 0, 0, 1, 0), 0);
-    /* A clock that goes back neither refunds nor locks the bucket. */
+    /* A clock that goes backwards neither refills nor locks the bucket. */
     CU_ASSERT(bucket_take(&b, 10, 2, 1, 0) > 0);
     CU_ASSERT_EQUAL(bucket_take(&b, 10, 2, 1, 10 * G_USEC_PER_SEC), 0);
 }
@@ -119,16 +120,16 @@
 typedef struct {
     int events;
     char data[256];
-} seen_t;
+} sse_result_t;
 
 static int
 on_event(str_t data, str_t raw, void *user)
 {
-    seen_t *seen = user;
+    sse_result_t *received = user;
     (void)raw;
-    seen->events++;
-    g_snprintf(seen->data, sizeof(seen->data), "%.*s", (int)data.length,
-               data.data);
+    received->events++;
+    g_snprintf(received->data, sizeof(received->data), "%.*s",
+               (int)data.length, data.data);
     return str_equal(data, STR("stop"));
 }
 
@@ -147,23 +148,23 @@
         {": comment\n\ndata: x\n\n", 2, "x", SSE_OK},
         {"event: e\nid: 3\ndata: y\n\n", 1, "y", SSE_OK},
         {"data: half", 0, "", SSE_OK},
-        {"data: stop\n\ndata: after\n\n", 1, "stop", SSE_ERROR_STOP},
+        {"data: stop\n\ndata: after\n\n", 1, "stop", SSE_ERROR_STOPPED},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
         for (gsize step = 1; step < 20; step += 6) {
             sse_t sse;
-            seen_t seen = {0};
+            sse_result_t received = {0};
             int result = SSE_OK;
             sse_init(&sse);
             gsize length = strlen(cases[i].text);
             for (gsize at = 0; at < length && result == SSE_OK; at += step) {
                 str_t part = {.data = cases[i].text + at,
                               .length = MIN(step, length - at)};
-                result = sse_feed(&sse, part, on_event, &seen);
+                result = sse_feed(&sse, part, on_event, &received);
             }
             CU_ASSERT_EQUAL(result, cases[i].result);
-            CU_ASSERT_EQUAL(seen.events, cases[i].events);
-            CU_ASSERT_STRING_EQUAL(seen.data, cases[i].last);
+            CU_ASSERT_EQUAL(received.events, cases[i].events);
+            CU_ASSERT_STRING_EQUAL(received.data, cases[i].last);
             sse_clear(&sse);
         }
     }
@@ -173,85 +174,89 @@
 test_sse_bounds_memory(void)
 {
     sse_t sse;
-    seen_t seen = {0};
+    sse_result_t received = {0};
     char *block = g_strnfill(64 * 1024, 'x');
     int result = SSE_OK;
     sse_init(&sse);
     for (int i = 0; i < 6 && result == SSE_OK; i++) {
-        result = sse_feed(&sse, str_from_cstr(block), on_event, &seen);
+        result = sse_feed(&sse, str_from_cstr(block), on_event, &received);
     }
-    CU_ASSERT_EQUAL(result, SSE_ERROR_LONG);
+    CU_ASSERT_EQUAL(result, SSE_ERROR_TOO_LONG);
     sse_clear(&sse);
     g_free(block);
 }
 
-/* Whatever happens after a byte left, a call that may not be repeated is
- * dispatched once; and what is told not-run never left, unless the endpoint
- * itself said so. */
+/* Random events. A request that is not repeatable must be dispatched at most
+ * once, whatever happens after a byte was sent. It may only be answered
+ * not-run if no byte was sent or the endpoint itself answered that it did not
+ * run the request. */
 static void
-test_life_at_most_once(void)
+test_lifecycle_at_most_once(void)
 {
     GRand *rand = g_rand_new_with_seed(11);
     for (int round = 0; round < 20000; round++) {
-        life_t life = {.repeatable = FALSE, .attempts_max = 3};
-        int dispatches_sent = 0;
-        gboolean left = FALSE;
-        gboolean said_not_run = FALSE;
-        life_apply(&life, LIFE_EVENT_ADMIT);
-        for (int i = 0; i < 30 && life.state != LIFE_DONE; i++) {
-            life_event_t event =
-                (life_event_t)g_rand_int_range(rand, 1, LIFE_EVENT_COUNT);
-            life_state_t before = life.state;
-            life.retry_allowed = g_rand_boolean(rand);
-            life_apply(&life, event);
-            if (before == LIFE_CONNECTING && life.state == LIFE_SENT) {
-                dispatches_sent++;
-                left = TRUE;
-                said_not_run = FALSE;
+        lifecycle_t lifecycle = {.repeatable = FALSE, .attempts_max = 3};
+        int dispatches = 0;
+        gboolean sent = FALSE;
+        gboolean answered_not_run = FALSE;
+        lifecycle_apply(&lifecycle, LIFECYCLE_EVENT_ADMIT);
+        for (int i = 0; i < 30 && lifecycle.state != LIFECYCLE_DONE; i++) {
+            lifecycle_event_t event = (lifecycle_event_t)g_rand_int_range(
+                rand, 1, LIFECYCLE_EVENT_COUNT);
+            lifecycle_state_t previous = lifecycle.state;
+            lifecycle.retry_allowed = g_rand_boolean(rand);
+            lifecycle_apply(&lifecycle, event);
+            if (previous == LIFECYCLE_CONNECTING &&
+                lifecycle.state == LIFECYCLE_SENT) {
+                dispatches++;
+                sent = TRUE;
+                answered_not_run = FALSE;
             }
-            if (before == LIFE_SENT && event == LIFE_EVENT_NOT_RUN) {
-                said_not_run = TRUE;
-                dispatches_sent--;
+            if (previous == LIFECYCLE_SENT &&
+                event == LIFECYCLE_EVENT_NOT_RUN) {
+                answered_not_run = TRUE;
+                dispatches--;
             }
         }
-        CU_ASSERT_FATAL(dispatches_sent <= 1);
-        if (life.state == LIFE_DONE && life.outcome == OUTCOME_NOT_RUN) {
-            CU_ASSERT_FATAL(!left || said_not_run);
+        CU_ASSERT_FATAL(dispatches <= 1);
+        if (lifecycle.state == LIFECYCLE_DONE &&
+            lifecycle.outcome == OUTCOME_NOT_RUN) {
+            CU_ASSERT_FATAL(!sent || answered_not_run);
         }
     }
     g_rand_free(rand);
 }
 
 static void
-test_life_resume_only_where_permitted(void)
+test_lifecycle_resume_only_where_permitted(void)
 {
     static const struct {
         gboolean repeatable;
         gboolean resume;
-        life_state_t next;
+        lifecycle_state_t next;
     } cases[] = {
-        {TRUE, TRUE, LIFE_QUEUED},
-        {TRUE, FALSE, LIFE_DONE},
-        {FALSE, FALSE, LIFE_DONE},
+        {TRUE, TRUE, LIFECYCLE_QUEUED},
+        {TRUE, FALSE, LIFECYCLE_DONE},
+        {FALSE, FALSE, LIFECYCLE_DONE},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(cases); i++) {
-        life_t life = {.state = LIFE_STREAMING,
-                       .repeatable = cases[i].repeatable,
-                       .resume = cases[i].resume,
-                       .attempts = 1,
-                       .attempts_max = 3,
-                       .retry_allowed = TRUE};
-        life_apply(&life, LIFE_EVENT_BROKEN);
-        CU_ASSERT_EQUAL(life.state, cases[i].next);
+        lifecycle_t lifecycle = {.state = LIFECYCLE_STREAMING,
+                                 .repeatable = cases[i].repeatable,
+                                 .resume = cases[i].resume,
+                                 .attempts = 1,
+                                 .attempts_max = 3,
+                                 .retry_allowed = TRUE};
+        lifecycle_apply(&lifecycle, LIFECYCLE_EVENT_BROKEN);
+        CU_ASSERT_EQUAL(lifecycle.state, cases[i].next);
     }
 }
 
-/* The page that lists the transitions is the table. */
+/* The documentation must contain the transition table as it is in the code. */
 static void
-test_life_page_is_the_table(void)
+test_lifecycle_page_is_the_table(void)
 {
     char *page = NULL;
-    char *table = life_table_markdown();
+    char *table = lifecycle_table_markdown();
     g_file_get_contents(SOURCE_ROOT "/docs/design/request-lifecycle.md", &page,
                         NULL, NULL);
     CU_ASSERT(page != NULL && strstr(page, table) != NULL);
@@ -281,10 +286,11 @@
     }
     CU_ASSERT_EQUAL(often, 10);
     CU_ASSERT_EQUAL(once, 1);
-    /* A jump runs a periodic timer once, not once for each period. */
+    /* A jump of the clock runs a periodic timer once, not once per missed
+     * period. */
     timers_advance(timers, 100000);
     CU_ASSERT_EQUAL(often, 11);
-    /* A clock that goes back runs nothing. */
+    /* A clock that goes backwards runs no timer. */
     timers_advance(timers, 50);
     CU_ASSERT_EQUAL(often, 11);
     timers_cancel(timers, id);
@@ -296,14 +302,15 @@
 static const test_case_t cases[] = {
     {"heap orders", test_heap_orders},
     {"quantile within its factor", test_quantile_within_factor},
-    {"bucket says when", test_bucket_says_when},
+    {"bucket says when", test_bucket_wait},
     {"retry budget bounds a storm", test_retry_budget_bounds_storm},
     {"rendezvous moves little", test_rendezvous_moves_little},
     {"events are read however they are cut", test_sse_cases},
     {"events are bounded", test_sse_bounds_memory},
-    {"not repeatable runs at most once", test_life_at_most_once},
-    {"resumes only where permitted", test_life_resume_only_where_permitted},
-    {"the life's page is its table", test_life_page_is_the_table},
+    {"not repeatable runs at most once", test_lifecycle_at_most_once},
+    {"resumes only where permitted",
+     test_lifecycle_resume_only_where_permitted},
+    {"the life's page is its table", test_lifecycle_page_is_the_table},
     {"timers on a manual clock", test_timers_manual_clock},
 };
 
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -1,4 +1,5 @@
-/* The invariants of the decisions, over seeded random orders of events. */
+/* Checks the invariants of the scheduler's decisions over seeded random
+ * sequences of events, against a model of its tickets and endpoints. */
 #include <string.h>
 
 #include "carobloom/policy/scheduler.h"
@@ -6,14 +7,14 @@
 
 enum { SEEDS = 60, EVENTS = 4000, CLASSES = 5, ENDPOINTS = 6, TICKETS = 8192 };
 
-typedef enum { NONE, WAITING, RUNNING, OVER } place_t;
+typedef enum { NONE, WAITING, RUNNING, ENDED } ticket_state_t;
 
 typedef struct {
-    place_t place;
+    ticket_state_t state;
     guint class_index;
     guint64 endpoint;
     ticket_t ticket;
-} seen_t;
+} model_ticket_t;
 
 typedef struct {
     scheduler_t *scheduler;
@@ -21,34 +22,34 @@
     GArray *actions;
     gint64 now;
     class_spec_t classes[CLASSES];
-    seen_t seen[TICKETS];
+    model_ticket_t tickets[TICKETS];
     guint next;
     guint slots[ENDPOINTS];
     guint used[ENDPOINTS];
-    gboolean gone[ENDPOINTS];
+    gboolean removed[ENDPOINTS];
     guint granted[CLASSES];
     guint preempted;
     guint refused;
-    const char *wrong;
+    const char *violation;
 } model_t;
 
 static guint
-running_below(const model_t *m, int tier)
+count_running_below(const model_t *m, int tier)
 {
     guint count = 0;
     for (guint i = 1; i < m->next; i++) {
-        count += m->seen[i].place == RUNNING &&
-                 m->classes[m->seen[i].class_index].tier > tier;
+        count += m->tickets[i].state == RUNNING &&
+                 m->classes[m->tickets[i].class_index].tier > tier;
     }
     return count;
 }
 
 static gboolean
-protected_waits_above(const model_t *m, int tier)
+protected_waiting_above(const model_t *m, int tier)
 {
     for (guint i = 1; i < m->next; i++) {
-        const class_spec_t *c = &m->classes[m->seen[i].class_index];
-        if (m->seen[i].place == WAITING && c->protect && c->tier < tier) {
+        const class_spec_t *c = &m->classes[m->tickets[i].class_index];
+        if (m->tickets[i].state == WAITING && c->protect && c->tier < tier) {
             return TRUE;
         }
     }
@@ -56,74 +57,76 @@
 }
 
 static void
-check_grant(model_t *m, const action_t *a, seen_t *s)
+check_grant(model_t *m, const action_t *a, model_ticket_t *t)
 {
     guint at = (guint)a->endpoint - 1;
-    if (s->place != WAITING) {
-        m->wrong = "granted what does not wait";
+    if (t->state != WAITING) {
+        m->violation = "granted a ticket that is not waiting";
     }
-    if (m->gone[at]) {
-        m->wrong = "granted at an endpoint that left";
+    if (m->removed[at]) {
+        m->violation = "granted at an endpoint that was removed";
     }
     if (++m->used[at] > m->slots[at]) {
-        m->wrong = "granted beyond an endpoint's slots";
+        m->violation = "granted more than the slots of an endpoint";
     }
-    s->place = RUNNING;
-    s->endpoint = a->endpoint;
-    m->granted[s->class_index]++;
+    t->state = RUNNING;
+    t->endpoint = a->endpoint;
+    m->granted[t->class_index]++;
 }
 
 static void
-check_preempt(model_t *m, const seen_t *s)
+check_preempt(model_t *m, const model_ticket_t *t)
 {
-    const class_spec_t *c = &m->classes[s->class_index];
-    if (s->place != RUNNING || !c->resume) {
-        m->wrong = "preempted what can not be resumed";
+    const class_spec_t *c = &m->classes[t->class_index];
+    if (t->state != RUNNING || !c->resume) {
+        m->violation =
+            "preempted a ticket that is not running or cannot be resumed";
     }
-    if (!protected_waits_above(m, c->tier)) {
-        m->wrong = "preempted for nothing above it";
+    if (!protected_waiting_above(m, c->tier)) {
+        m->violation = "preempted without a protected ticket waiting above";
     }
     m->preempted++;
 }
 
 static void
-check_refuse(model_t *m, seen_t *s, const action_t *a)
+check_refuse(model_t *m, model_ticket_t *t, const action_t *a)
 {
-    const class_spec_t *c = &m->classes[s->class_index];
+    const class_spec_t *c = &m->classes[t->class_index];
     if (c->protect && a->reason == REFUSE_DEADLINE &&
-        running_below(m, c->tier) > 0) {
-        m->wrong = "refused a protected ticket while lower work ran";
+        count_running_below(m, c->tier) > 0) {
+        m->violation =
+            "refused a protected ticket while lower tiers were running";
     }
     if (a->retry_after_us < G_USEC_PER_SEC) {
-        m->wrong = "refused without a time to come back";
+        m->violation = "refused with a retry time below 1 s";
     }
-    s->place = OVER;
+    t->state = ENDED;
     m->refused++;
 }
 
 static void end_ticket(model_t *m, guint at, settle_result_t result);
 
 static void
-take_actions(model_t *m)
+apply_actions(model_t *m)
 {
-    while (m->actions->len > 0 && m->wrong == NULL) {
+    while (m->actions->len > 0 && m->violation == NULL) {
         action_t a = g_array_index(m->actions, action_t, 0);
         g_array_remove_index(m->actions, 0);
-        seen_t *s = &m->seen[a.ticket];
+        model_ticket_t *t = &m->tickets[a.ticket];
         switch (a.type) {
         case ACTION_GRANT:
-            check_grant(m, &a, s);
+            check_grant(m, &a, t);
             break;
         case ACTION_PREEMPT:
-            check_preempt(m, s);
+            check_preempt(m, t);
             end_ticket(m, (guint)a.ticket, SETTLE_CANCELLED);
-            s->ticket.preemptions++;
-            s->ticket.done_tokens += 10;
-            s->place = WAITING;
-            scheduler_submit(m->scheduler, &s->ticket, m->now, m->actions);
+            t->ticket.preemptions++;
+            t->ticket.done_tokens += 10;
+            t->state = WAITING;
+            scheduler_submit(m->scheduler, &t->ticket, m->now, m->actions);
             break;
         case ACTION_REFUSE:
-            check_refuse(m, s, &a);
+            check_refuse(m, t, &a);
             break;
         }
     }
@@ -132,26 +135,26 @@
 static void
 end_ticket(model_t *m, guint at, settle_result_t result)
 {
-    seen_t *s = &m->seen[at];
+    model_ticket_t *t = &m->tickets[at];
     settlement_t settlement = {
         .result = result, .tokens = 50, .token_us = 20000};
-    s->place = OVER;
-    m->used[s->endpoint - 1]--;
+    t->state = ENDED;
+    m->used[t->endpoint - 1]--;
     scheduler_settle(m->scheduler, at, &settlement, m->now, m->actions);
 }
 
 static void
-submit_some(model_t *m)
+submit_random(model_t *m)
 {
     if (m->next >= TICKETS) {
         return;
     }
-    seen_t *s = &m->seen[m->next];
-    s->class_index = (guint)g_rand_int_range(m->rand, 0, CLASSES);
-    s->place = WAITING;
-    s->ticket = (ticket_t){
+    model_ticket_t *t = &m->tickets[m->next];
+    t->class_index = (guint)g_rand_int_range(m->rand, 0, CLASSES);
+    t->state = WAITING;
+    t->ticket = (ticket_t){
         .id = m->next,
-        .class_index = s->class_index,
+        .class_index = t->class_index,
         .team = (guint64)g_rand_int_range(m->rand, 1, 6),
         .team_weight = 1 + g_rand_int_range(m->rand, 0, 3),
         .prompt_tokens = 100,
@@ -159,16 +162,16 @@
         .arrived_us = m->now,
     };
     m->next++;
-    scheduler_submit(m->scheduler, &s->ticket, m->now, m->actions);
+    scheduler_submit(m->scheduler, &t->ticket, m->now, m->actions);
 }
 
 static guint
-some_in(model_t *m, place_t place)
+random_ticket_in(model_t *m, ticket_state_t state)
 {
     guint start = (guint)g_rand_int_range(m->rand, 1, (gint)MAX(m->next, 2));
     for (guint i = 0; i + 1 < m->next; i++) {
         guint at = 1 + (start + i) % (m->next - 1);
-        if (m->seen[at].place == place) {
+        if (m->tickets[at].state == state) {
             return at;
         }
     }
@@ -176,27 +179,27 @@
 }
 
 static void
-endpoint_event(model_t *m)
+random_endpoint_event(model_t *m)
 {
     guint at = (guint)g_rand_int_range(m->rand, 0, ENDPOINTS);
     endpoint_set_t *set = scheduler_endpoints(m->scheduler);
-    if (m->gone[at] || m->used[at] > 0) {
+    if (m->removed[at] || m->used[at] > 0) {
         endpoint_set_report(set, at + 1,
                             (guint)g_rand_int_range(m->rand, 0, 6),
                             g_rand_double_range(m->rand, 1e4, 9e4), m->now);
-        if (!m->gone[at]) {
+        if (!m->removed[at]) {
             return;
         }
-        m->gone[at] = FALSE;
+        m->removed[at] = FALSE;
         endpoint_set_put(set, at + 1, m->slots[at], m->now);
         return;
     }
-    m->gone[at] = TRUE;
-    endpoint_set_leave(set, at + 1);
+    m->removed[at] = TRUE;
+    endpoint_set_remove(set, at + 1);
 }
 
 static void
-one_event(model_t *m)
+random_event(model_t *m)
 {
     guint at;
     m->now += g_rand_int_range(m->rand, 1, 30000);
@@ -206,35 +209,35 @@
     case 2:
     case 3:
     case 12:
-    case 13: /* more arrives than is served, so that some is refused */
-        submit_some(m);
+    case 13: /* more arrivals than ends, so that some are refused */
+        submit_random(m);
         break;
     case 4:
     case 5:
     case 6:
-        if ((at = some_in(m, RUNNING)) != 0) {
+        if ((at = random_ticket_in(m, RUNNING)) != 0) {
             end_ticket(m, at, SETTLE_COMPLETE);
         }
         break;
     case 7:
-        if ((at = some_in(m, RUNNING)) != 0) {
+        if ((at = random_ticket_in(m, RUNNING)) != 0) {
             end_ticket(m, at, SETTLE_FAILED);
         }
         break;
     case 8:
-        if ((at = some_in(m, WAITING)) != 0) {
-            m->seen[at].place = OVER;
+        if ((at = random_ticket_in(m, WAITING)) != 0) {
+            m->tickets[at].state = ENDED;
             scheduler_cancel(m->scheduler, at);
         }
         break;
     case 9:
-        endpoint_event(m);
-        scheduler_run(m->scheduler, m->now, m->actions);
+        random_endpoint_event(m);
+        scheduler_grant(m->scheduler, m->now, m->actions);
         break;
     case 10:
-        /* Sent again: nothing may change, or the same grant comes again. */
-        if ((at = some_in(m, WAITING)) != 0) {
-            scheduler_submit(m->scheduler, &m->seen[at].ticket, m->now,
+        /* Submitting a ticket again changes nothing or repeats its grant. */
+        if ((at = random_ticket_in(m, WAITING)) != 0) {
+            scheduler_submit(m->scheduler, &m->tickets[at].ticket, m->now,
                              m->actions);
         }
         break;
@@ -242,7 +245,7 @@
         scheduler_tick(m->scheduler, m->now, m->actions);
         break;
     }
-    take_actions(m);
+    apply_actions(m);
 }
 
 static void
@@ -255,7 +258,7 @@
     m->next = 1;
     for (guint i = 0; i < CLASSES; i++) {
         m->classes[i] = (class_spec_t){.tier = (int)i,
-                                       .least_share = 0.05,
+                                       .min_share = 0.05,
                                        .weight = 1,
                                        .first_token_us = 200000,
                                        .deadline_us = 1500000 + i * 4000000,
@@ -271,15 +274,15 @@
         endpoint_set_put(scheduler_endpoints(m->scheduler), i + 1, m->slots[i],
                          m->now);
     }
-    for (guint i = 0; i < EVENTS && m->wrong == NULL; i++) {
-        one_event(m);
+    for (guint i = 0; i < EVENTS && m->violation == NULL; i++) {
+        random_event(m);
     }
-    if (m->wrong != NULL) {
-        printf("seed %u: %s\n", seed, m->wrong);
-        CU_FAIL("an invariant is broken");
+    if (m->violation != NULL) {
+        printf("seed %u: %s\n", seed, m->violation);
+        CU_FAIL("the scheduler violated an invariant");
     }
     for (guint i = 0; i < CLASSES; i++) {
-        CU_ASSERT(m->granted[i] > 0); /* none starves */
+        CU_ASSERT(m->granted[i] > 0); /* no class starves */
         *granted += m->granted[i];
     }
     *preempted += m->preempted;
@@ -306,8 +309,8 @@
     CU_ASSERT(refused > 100);
 }
 
-/* Teams share a class by weight: one with many waiting does not crowd out
- * one with few. */
+/* Teams share a class by weight: a team with many waiting tickets does not
+ * crowd out a team with few. */
 static void
 test_teams_share(void)
 {
@@ -338,14 +341,15 @@
         settlement_t done = {.result = SETTLE_COMPLETE, .tokens = 100};
         scheduler_settle(s, id, &done, now, actions);
     }
-    /* By weight 1 to 3. */
+    /* The weights are 1 and 3. */
     printf("%u to %u ", served[1], served[2]);
     CU_ASSERT(served[2] >= 55 && served[2] <= 65);
     g_array_unref(actions);
     scheduler_destroy(s);
 }
 
-/* A lost settlement does not hold a slot for good. */
+/* A settlement message may be lost. Reconciliation with the entry instance's
+ * list of running tickets frees the slot. */
 static void
 test_lost_settlement(void)
 {
@@ -367,7 +371,7 @@
     CU_ASSERT_EQUAL(scheduler_reconcile(s, 7, &a.id, 1, 100, 100, actions), 0);
     CU_ASSERT_EQUAL(scheduler_reconcile(s, 7, &none, 0, 100, 100, actions), 1);
     CU_ASSERT_EQUAL(actions->len, 2);
-    /* And an entry that died gives all of its back. */
+    /* The slots of an entry instance that died are freed too. */
     scheduler_drop_entry(s, 7, 200, actions);
     CU_ASSERT_EQUAL(scheduler_running(s, 0), 0);
     g_array_unref(actions);
