--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -11,11 +11,11 @@
     RIVAL_SHARED_ENDS_MIN = 2,
     /* Rivals are quarantined together after this many ends. With the two
      * probes that follow, the cause is sent three times after its third end,
-     * which is the most that sites accept. */
+     * which is the most that operators accept. */
     TIED_ENDS_MIN = 4,
-    /* Probes with an endpoint end that confirm the cause. One may be
-     * coincidence: it left a wrong request quarantined in 2 of 300 simulated
-     * histories. */
+    /* A request is confirmed as the cause after this many probes during which
+     * its endpoint ended. One may be coincidence: it left a wrong request
+     * quarantined in 2 of 300 simulated histories. */
     FAILED_PROBES_MIN = 2,
     /* Duration of a probe; there is one at a time. Within it the caller
      * retries, the request is answered or cut off, and all control instances
