--- a/carobloomd/process/policy_pool.c
+++ b/carobloomd/process/policy_pool.c
@@ -166,6 +166,7 @@
     return json_pack(
         "{s:s, s:i, s:i, s:o, s:o}", "pool", pool->name, "slots",
         (int)endpoint_set_slots(scheduler_endpoints(pool->scheduler)), "free",
-        (int)endpoint_set_free(scheduler_endpoints(pool->scheduler), FALSE),
+        (int)endpoint_set_free_slots(scheduler_endpoints(pool->scheduler),
+                                     FALSE),
         "classes", classes, "endpoints", endpoints);
 }
--- a/include/carobloom/policy/endpoint_set.h
+++ b/include/carobloom/policy/endpoint_set.h
@@ -91,7 +91,8 @@
 void endpoint_set_update_health(endpoint_set_t *set, gint64 now_us);
 
 /* Free and usable slots, summed over the endpoints. */
-guint endpoint_set_free(const endpoint_set_t *set, gboolean healthy_only);
+guint endpoint_set_free_slots(const endpoint_set_t *set,
+                              gboolean healthy_only);
 guint endpoint_set_slots(const endpoint_set_t *set);
 /* Number of endpoints, whatever their health. */
 guint endpoint_set_count(const endpoint_set_t *set);
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-static const double SMOOTHING = 0.2;
+static const double TOKEN_TIME_SMOOTHING = 0.2;
 static const double IDLE_COST = 0.5;       /* relative to a full endpoint */
 static const double SLOW_RATIO = 2.0;      /* of the median: a straggler */
 static const double RECOVERED_RATIO = 1.5; /* of the median: recovered */
@@ -214,7 +214,7 @@
     if (e->samples == 0) {
         e->token_us = token_us;
     }
-    e->token_us += SMOOTHING * (token_us - e->token_us);
+    e->token_us += TOKEN_TIME_SMOOTHING * (token_us - e->token_us);
     e->samples++;
 }
 
@@ -493,7 +493,7 @@
 }
 
 guint
-endpoint_set_free(const endpoint_set_t *set, gboolean healthy_only)
+endpoint_set_free_slots(const endpoint_set_t *set, gboolean healthy_only)
 {
     return healthy_only ? set->free : set->free + set->degraded_free;
 }
--- a/policy/scheduler.c
+++ b/policy/scheduler.c
@@ -309,7 +309,7 @@
 static guint
 class_free_slots(const scheduler_t *s, const class_state_t *c)
 {
-    return endpoint_set_free(s->endpoints, c->spec.protect);
+    return endpoint_set_free_slots(s->endpoints, c->spec.protect);
 }
 
 /* Picks the class whose oldest ticket exceeds max_wait_us by the largest
@@ -381,7 +381,7 @@
 pick_class(scheduler_t *s, gint64 now_us, gboolean *aged)
 {
     *aged = FALSE;
-    if (endpoint_set_free(s->endpoints, FALSE) == 0) {
+    if (endpoint_set_free_slots(s->endpoints, FALSE) == 0) {
         return NULL;
     }
     if (s->grants_since_aged >= AGED_GRANT_INTERVAL) {
