--- a/tests/test_voter.c
+++ b/tests/test_voter.c
@@ -1,11 +1,13 @@
-/* Voters under random loss, delay, repetition, partition, crash, disk loss,
- * stalled disks, suspension, and replacement by an empty voter. Each seed is
- * one history; what clients saw must be linearizable, and the calls of whoever
- * held the duties must reach the platform under rising tokens, one holder
- * each, and never as holder, other, holder within APART_US.
+/* Randomized simulation of a Raft group with message loss, delay, duplication,
+ * partitions, crashes, disk loss, stalled disks, suspension, and replacement
+ * of a voter by an empty one. Each seed is one history. Client writes and
+ * reads must be linearizable. Duty calls must reach the platform under rising
+ * fencing tokens, each token used by one machine only. After another machine
+ * has called, a machine must not call within HOLDER_GAP_MIN_US of its last
+ * call.
  *
- * The network is an array of bytes in flight and a disk is what a voter was
- * told to make durable: nothing else is modelled. */
+ * The network is an array of packets in flight, and a disk holds what a voter
+ * made durable; nothing else is modelled. */
 #include <string.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,23 +19,23 @@
 #include "check.h"
 
 enum {
-    CHILDREN = 8,
+    PROCESSES = 8,
     NODES_MAX = 5,
     HISTORIES = 10000,
-    STEPS = 300,
-    SETTLE_STEPS = 800,
+    FAULT_STEPS = 300,
+    CONVERGE_STEPS_MAX = 800,
     OPERATIONS_MAX = 64,
-    FLIGHT_MAX = 400,
+    PACKETS_MAX = 400,
     STEP_US = 10000,
     ELECTION_US = 100000,
-    COMPACT_EVERY = 12,
+    COMPACT_INTERVAL_ENTRIES = 12,
     PAUSE_STEPS = 60, /* six election timeouts */
-    REPLACED_MAX = 4,
-    /* So long that two changes of leaders fit. */
-    APART_US = 2000000,
-    /* A call takes up to so many steps to the platform: a round trip between
-     * data centres is a tenth of it. */
-    CALL_STEPS = 2,
+    REPLACEMENTS_MAX = 4,
+    /* Long enough for two changes of leader. */
+    HOLDER_GAP_MIN_US = 2000000,
+    /* Maximum steps until a call reaches the platform; a round trip between
+     * data centres takes a tenth of that. */
+    CALL_DELAY_STEPS_MAX = 2,
     CALLS_MAX = 64,
     WORLD_START_US = 1000000,
     MACHINES_MAX = 26,
@@ -48,36 +50,38 @@
 
 typedef struct {
     guint64 id;
-    voter_t *voter; /* NULL while down */
+    voter_t *voter; /* NULL while the voter is down */
     disk_t disk;
-    GArray *state; /* operation numbers applied, the state machine */
+    GArray *state; /* the state machine: numbers of the applied operations */
     guint64 state_index;
-    gint64 skew_us;       /* its clock against the world's */
-    gboolean lost;        /* it lost its disk and rejoins as a learner */
-    char name;            /* a new one when another machine took its place */
-    gint64 paused_until;  /* its disk answers nothing, or it is suspended:
-                           * what comes waits for it */
-    gint64 read_until_us; /* as its owner was last told; the owner goes on
-                           * reading while the voter waits for its disk */
-    gint64 heard_us;      /* by the world's clock: when it last was up */
-    duty_lease_t duties;  /* as its owner has it */
-    guint64 view_term;    /* as the owner was last told */
-    gboolean view_leads;
+    gint64 skew_us;     /* offset of its clock from the simulation's */
+    gboolean rejoining; /* lost its disk and rejoins as a learner */
+    char name;          /* changes when another machine replaces it */
+    /* The disk stalls or the voter is suspended until then; messages to the
+     * voter wait. */
+    gint64 paused_until_us;
+    /* End of the lease at the owner's last update, 0 without one. The owner
+     * keeps reading while the voter waits for its disk. */
+    gint64 owner_read_until_us;
+    gint64 last_up_us;       /* by the simulation's clock */
+    duty_lease_t duty_lease; /* held by the owner */
+    guint64 owner_term;      /* at the owner's last update */
+    gboolean owner_is_leader;
 } node_t;
 
-/* A call of a holder on its way to the platform. */
+/* A duty holder's call in flight to the platform. */
 typedef struct {
     guint64 token;
     guint machine;
-    gint64 due;
+    gint64 due_us;
 } duty_call_t;
 
-/* What the platform saw. */
+/* The calls that the platform received. */
 typedef struct {
-    guint64 token;                /* the highest */
-    guint machine;                /* that sent it last */
-    gint64 last_us[MACHINES_MAX]; /* its last call; 0: none */
-    gboolean away[MACHINES_MAX];  /* another has called since */
+    guint64 token;                     /* highest token */
+    guint machine;                     /* machine of the last call */
+    gint64 last_us[MACHINES_MAX];      /* time of its last call; 0: none */
+    gboolean superseded[MACHINES_MAX]; /* another machine called since */
     guint calls;
     guint changes;
 } platform_t;
@@ -85,39 +89,40 @@
 typedef struct {
     GBytes *bytes;
     guint from;
-    guint to_name;
-    gint64 due;
+    guint to;
+    gint64 due_us;
 } packet_t;
 
-/* A client's write: numbered, with its times in steps. */
+/* A client's write with the times of its call and its answer. */
 typedef struct {
-    gint64 called;
-    gint64 answered; /* 0: no answer was had */
+    gint64 called_us;
+    gint64 answered_us; /* 0: not answered */
 } operation_t;
 
 typedef struct {
     GRand *rand;
-    GRand *call_rand; /* of the duties alone: a seed's history of the log is
-                       * the same whatever calls are made */
+    /* For duty calls only, so that they don't change the history of the log
+     * that a seed gives. */
+    GRand *call_rand;
     guint count;
     node_t nodes[NODES_MAX];
-    packet_t flight[FLIGHT_MAX];
-    guint in_flight;
+    packet_t packets[PACKETS_MAX];
+    guint packet_count;
     gboolean cut[NODES_MAX][NODES_MAX];
-    gint64 now;
+    gint64 now_us;
     guint64 next_id;
     operation_t operations[OPERATIONS_MAX];
     guint operation_count;
-    GArray *chosen;      /* guint32 by log index: what was applied there */
-    GHashTable *leaders; /* term -> leader id */
-    gboolean calm;
-    gboolean brisk; /* packets come so soon that leases hold amid trouble */
-    gboolean wrong;
+    GArray *applied_marks; /* guint32 by log index, of the applied entry */
+    GHashTable *leaders;   /* term -> leader id */
+    gboolean fault_free;
+    gboolean fast_network; /* delays so short that leases survive faults */
+    gboolean violation;
     guint reads;
     guint replaced;
     guint pauses;
     duty_call_t calls[CALLS_MAX];
-    guint calls_under_way;
+    guint calls_in_flight;
     platform_t platform;
 } world_t;
 
@@ -130,7 +135,7 @@
 static gint64
 clock_of(const world_t *w, const node_t *n)
 {
-    return w->now + n->skew_us;
+    return w->now_us + n->skew_us;
 }
 
 static GBytes *
@@ -158,73 +163,75 @@
     return (guint)(n->name - 'a') % MACHINES_MAX;
 }
 
-/* The owner is told where the log stands. */
+/* Updates the owner with the voter's role, term and lease. */
 static void
-owner_told(const world_t *w, node_t *n)
+update_owner(const world_t *w, node_t *n)
 {
     gint64 now = clock_of(w, n);
-    n->read_until_us =
+    n->owner_read_until_us =
         voter_may_read(n->voter, now) ? voter_lease_end_us(n->voter) : 0;
-    n->view_leads = voter_role(n->voter) == ROLE_LEADER;
-    n->view_term = voter_term(n->voter);
-    duty_lease_update(&n->duties, n->view_leads, n->view_term,
-                      n->read_until_us, now);
+    n->owner_is_leader = voter_role(n->voter) == ROLE_LEADER;
+    n->owner_term = voter_term(n->voter);
+    duty_lease_update(&n->duty_lease, n->owner_is_leader, n->owner_term,
+                      n->owner_read_until_us, now);
 }
 
-/* The owner makes a call if it may, whatever the voter waits for. */
+/* The owner calls if it holds the duties, even while the voter waits. */
 static void
-duty_act(world_t *w, node_t *n)
+make_duty_call(world_t *w, node_t *n)
 {
     gint64 now = clock_of(w, n);
-    duty_lease_update(&n->duties, n->view_leads, n->view_term,
-                      n->read_until_us, now);
-    if (w->calls_under_way >= CALLS_MAX ||
+    duty_lease_update(&n->duty_lease, n->owner_is_leader, n->owner_term,
+                      n->owner_read_until_us, now);
+    if (w->calls_in_flight >= CALLS_MAX ||
         g_rand_int_range(w->call_rand, 0, 3) != 0) {
         return;
     }
-    guint64 token = duty_lease_act(&n->duties, now);
+    guint64 token = duty_lease_act(&n->duty_lease, now);
     if (token != 0) {
-        w->calls[w->calls_under_way++] = (duty_call_t){
+        w->calls[w->calls_in_flight++] = (duty_call_t){
             .token = token,
             .machine = machine_of(n),
-            .due = w->now + STEP_US * g_rand_int_range(w->call_rand, 0,
-                                                       CALL_STEPS + 1)};
+            .due_us = w->now_us +
+                      STEP_US * g_rand_int_range(w->call_rand, 0,
+                                                 CALL_DELAY_STEPS_MAX + 1)};
     }
 }
 
-/* What the platform forbids. */
+/* Checks a call against the rules of the platform. */
 static void
-platform_take(world_t *w, const duty_call_t *call)
+platform_receive_call(world_t *w, const duty_call_t *call)
 {
     platform_t *p = &w->platform;
     gint64 *last_us = &p->last_us[call->machine];
-    gboolean other_sent_it =
+    gboolean token_reused =
         call->token == p->token && call->machine != p->machine;
-    gboolean too_soon = p->away[call->machine] && w->now - *last_us < APART_US;
-    if (call->token < p->token || other_sent_it || too_soon) {
-        w->wrong = TRUE;
+    gboolean too_soon = p->superseded[call->machine] &&
+                        w->now_us - *last_us < HOLDER_GAP_MIN_US;
+    if (call->token < p->token || token_reused || too_soon) {
+        w->violation = TRUE;
     }
     p->calls++;
     p->changes += p->machine != call->machine;
     p->token = call->token;
     p->machine = call->machine;
-    *last_us = w->now;
+    *last_us = w->now_us;
     for (guint i = 0; i < MACHINES_MAX; i++) {
-        p->away[i] = i != call->machine && p->last_us[i] > 0;
+        p->superseded[i] = i != call->machine && p->last_us[i] > 0;
     }
 }
 
 static void
 platform_step(world_t *w)
 {
-    for (guint i = 0; i < w->calls_under_way;) {
+    for (guint i = 0; i < w->calls_in_flight;) {
         duty_call_t call = w->calls[i];
-        if (call.due > w->now) {
+        if (call.due_us > w->now_us) {
             i++;
             continue;
         }
-        w->calls[i] = w->calls[--w->calls_under_way];
-        platform_take(w, &call);
+        w->calls[i] = w->calls[--w->calls_in_flight];
+        platform_receive_call(w, &call);
     }
 }
 
@@ -238,9 +245,9 @@
     n->voter = voter_create(&settings, &n->disk.hard, &n->disk.snapshot,
                             n->disk.entries, clock_of(w, n));
     state_restore(n, &n->disk.snapshot);
-    n->view_leads = FALSE;
-    duty_lease_init(&n->duties, APART_US, w->now == WORLD_START_US,
-                    clock_of(w, n));
+    n->owner_is_leader = FALSE;
+    duty_lease_init(&n->duty_lease, HOLDER_GAP_MIN_US,
+                    w->now_us == WORLD_START_US, clock_of(w, n));
 }
 
 static void
@@ -250,8 +257,8 @@
         voter_destroy(n->voter);
         n->voter = NULL;
     }
-    n->read_until_us = 0; /* its owner is gone with it */
-    n->paused_until = 0;
+    n->owner_read_until_us = 0; /* its owner crashes with it */
+    n->paused_until_us = 0;
 }
 
 static void
@@ -263,7 +270,7 @@
 }
 
 static void
-disk_snapshot(disk_t *disk, const voter_snapshot_t *snapshot)
+disk_store_snapshot(disk_t *disk, const voter_snapshot_t *snapshot)
 {
     GBytes *data = snapshot->data ? g_bytes_ref(snapshot->data) : NULL;
     g_clear_pointer(&disk->snapshot.data, g_bytes_unref);
@@ -271,17 +278,18 @@
     disk->snapshot.data = data;
 }
 
-/* Makes a ready durable up to a random point; FALSE for a crash there. */
+/* Makes a ready durable. Returns FALSE for a random crash, before or in the
+ * middle of the write. */
 static gboolean
 disk_write(world_t *w, node_t *n, const voter_ready_t *ready)
 {
     disk_t *disk = &n->disk;
-    gboolean crash = !w->calm && g_rand_int_range(w->rand, 0, 150) == 0;
+    gboolean crash = !w->fault_free && g_rand_int_range(w->rand, 0, 150) == 0;
     if (crash && g_rand_boolean(w->rand)) {
         return FALSE;
     }
     if (ready->install) {
-        disk_snapshot(disk, &ready->snapshot);
+        disk_store_snapshot(disk, &ready->snapshot);
         g_ptr_array_set_size(disk->entries, 0);
     }
     if (ready->hard_state_changed) {
@@ -299,7 +307,7 @@
         for (guint64 i = ready->append_from; i <= replica_log_last_index(log);
              i++) {
             if (crash && g_rand_boolean(w->rand)) {
-                return FALSE; /* a torn tail: a part is there */
+                return FALSE; /* a torn tail: some entries are written */
             }
             g_ptr_array_add(disk->entries,
                             log_entry_copy(replica_log_get(log, i)));
@@ -311,15 +319,17 @@
 static void
 packet_add(world_t *w, guint from, guint to, GBytes *bytes)
 {
-    if (w->in_flight >= FLIGHT_MAX || w->cut[from][to]) {
+    if (w->packet_count >= PACKETS_MAX || w->cut[from][to]) {
         return;
     }
-    gint64 spread = w->calm ? 2 : w->brisk ? 3 : 15;
-    w->flight[w->in_flight++] = (packet_t){
-        .bytes = g_bytes_ref(bytes),
-        .from = from,
-        .to_name = to,
-        .due = w->now + STEP_US * g_rand_int_range(w->rand, 0, (gint)spread)};
+    gint64 delay_steps_max = w->fault_free ? 2 : w->fast_network ? 3 : 15;
+    w->packets[w->packet_count++] =
+        (packet_t){.bytes = g_bytes_ref(bytes),
+                   .from = from,
+                   .to = to,
+                   .due_us = w->now_us +
+                             STEP_US * g_rand_int_range(
+                                           w->rand, 0, (gint)delay_steps_max)};
 }
 
 static void
@@ -332,12 +342,14 @@
             if (w->nodes[k].id != m->to) {
                 continue;
             }
-            gboolean lose = !w->calm && g_rand_int_range(w->rand, 0, 12) == 0;
-            gboolean twice = !w->calm && g_rand_int_range(w->rand, 0, 20) == 0;
-            if (!lose) {
+            gboolean drop =
+                !w->fault_free && g_rand_int_range(w->rand, 0, 12) == 0;
+            gboolean duplicate =
+                !w->fault_free && g_rand_int_range(w->rand, 0, 20) == 0;
+            if (!drop) {
                 packet_add(w, from, k, bytes);
             }
-            if (twice) {
+            if (duplicate) {
                 packet_add(w, from, k, bytes);
             }
         }
@@ -345,7 +357,7 @@
     }
 }
 
-/* State-machine safety: one index, one operation, everywhere. */
+/* State machine safety: all voters apply the same entry at an index. */
 static void
 apply(world_t *w, node_t *n, const log_entry_t *entry)
 {
@@ -353,31 +365,32 @@
     if (entry->kind == ENTRY_COMMAND) {
         memcpy(&value, g_bytes_get_data(entry->data, NULL), sizeof(value));
     }
-    if (w->chosen->len <= entry->index) {
-        g_array_set_size(w->chosen, (guint)entry->index + 1);
+    if (w->applied_marks->len <= entry->index) {
+        g_array_set_size(w->applied_marks, (guint)entry->index + 1);
     }
     guint32 mark = value + 1 + (guint32)entry->term * 1000;
-    guint32 *chosen = &g_array_index(w->chosen, guint32, entry->index);
-    if ((*chosen != 0 && *chosen != mark) ||
+    guint32 *applied_mark =
+        &g_array_index(w->applied_marks, guint32, entry->index);
+    if ((*applied_mark != 0 && *applied_mark != mark) ||
         entry->index != n->state_index + 1) {
-        w->wrong = TRUE;
+        w->violation = TRUE;
     }
-    *chosen = mark;
+    *applied_mark = mark;
     n->state_index = entry->index;
     if (value > 0) {
         g_array_append_val(n->state, value);
-        /* The leader that applied it may answer the client. */
+        /* The leader answers the client once it has applied the entry. */
         operation_t *operation = &w->operations[value - 1];
-        if (operation->answered == 0 && n->voter &&
+        if (operation->answered_us == 0 && n->voter &&
             voter_role(n->voter) == ROLE_LEADER) {
-            operation->answered = w->now;
+            operation->answered_us = w->now_us;
         }
     }
 }
 
-/* Election safety: one leader a term. */
+/* Election safety: at most one leader per term. */
 static void
-note_leader(world_t *w, const node_t *n)
+record_leader(world_t *w, const node_t *n)
 {
     if (voter_role(n->voter) != ROLE_LEADER) {
         return;
@@ -385,7 +398,7 @@
     gpointer term = GUINT_TO_POINTER(voter_term(n->voter));
     gpointer known = g_hash_table_lookup(w->leaders, term);
     if (known != NULL && GPOINTER_TO_UINT(known) != n->id) {
-        w->wrong = TRUE;
+        w->violation = TRUE;
     }
     g_hash_table_insert(w->leaders, term, GUINT_TO_POINTER((guint)n->id));
 }
@@ -394,13 +407,13 @@
 compact(node_t *n)
 {
     guint64 base = voter_log(n->voter)->base_index;
-    if (n->state_index < base + COMPACT_EVERY ||
+    if (n->state_index < base + COMPACT_INTERVAL_ENTRIES ||
         voter_applied_index(n->voter) != n->state_index) {
         return;
     }
     GBytes *data = state_bytes(n);
     voter_snapshot_t snapshot = voter_compact(n->voter, n->state_index, data);
-    disk_snapshot(&n->disk, &snapshot);
+    disk_store_snapshot(&n->disk, &snapshot);
     while (n->disk.entries->len > 0) {
         const log_entry_t *first = n->disk.entries->pdata[0];
         if (first->index > snapshot.index) {
@@ -412,7 +425,7 @@
 }
 
 static void
-drive(world_t *w, guint at)
+process_ready(world_t *w, guint at)
 {
     node_t *n = &w->nodes[at];
     voter_ready_t ready;
@@ -431,44 +444,44 @@
         }
         voter_advance(n->voter, &ready, clock_of(w, n));
         voter_ready_clear(&ready);
-        note_leader(w, n);
+        record_leader(w, n);
         compact(n);
     }
     if (n->voter) {
-        owner_told(w, n);
+        update_owner(w, n);
     }
 }
 
 static void
-deliver(world_t *w)
+deliver_packets(world_t *w)
 {
-    for (guint i = 0; i < w->in_flight;) {
-        packet_t p = w->flight[i];
-        if (p.due > w->now) {
+    for (guint i = 0; i < w->packet_count;) {
+        packet_t p = w->packets[i];
+        if (p.due_us > w->now_us) {
             i++;
             continue;
         }
-        node_t *n = &w->nodes[p.to_name];
-        if (n->voter && w->now < n->paused_until) {
-            w->flight[i++].due = n->paused_until;
+        node_t *n = &w->nodes[p.to];
+        if (n->voter && w->now_us < n->paused_until_us) {
+            w->packets[i++].due_us = n->paused_until_us;
             continue;
         }
-        w->flight[i] = w->flight[--w->in_flight];
-        if (n->voter && !w->cut[p.from][p.to_name]) {
+        w->packets[i] = w->packets[--w->packet_count];
+        if (n->voter && !w->cut[p.from][p.to]) {
             voter_message_t *m = voter_message_read(p.bytes);
             voter_step(n->voter, m, clock_of(w, n));
             voter_message_free(m);
-            drive(w, p.to_name);
+            process_ready(w, p.to);
         }
         g_bytes_unref(p.bytes);
     }
 }
 
-/* A lease read must show every write answered before it began. */
+/* A lease read must return every write that was answered before it. */
 static void
-read_check(world_t *w, node_t *n)
+check_read(world_t *w, node_t *n)
 {
-    if (!n->voter || clock_of(w, n) >= n->read_until_us) {
+    if (!n->voter || clock_of(w, n) >= n->owner_read_until_us) {
         return;
     }
     w->reads++;
@@ -477,9 +490,9 @@
         found[g_array_index(n->state, guint32, k) - 1] = TRUE;
     }
     for (guint i = 0; i < w->operation_count; i++) {
-        if (w->operations[i].answered > 0 &&
-            w->operations[i].answered < w->now && !found[i]) {
-            w->wrong = TRUE;
+        if (w->operations[i].answered_us > 0 &&
+            w->operations[i].answered_us < w->now_us && !found[i]) {
+            w->violation = TRUE;
         }
     }
 }
@@ -492,16 +505,16 @@
         return;
     }
     guint32 value = ++w->operation_count;
-    w->operations[value - 1].called = w->now;
+    w->operations[value - 1].called_us = w->now_us;
     GBytes *data = g_bytes_new(&value, sizeof(value));
     guint64 index;
     voter_propose(n->voter, data, &index, clock_of(w, n));
     g_bytes_unref(data);
 }
 
-/* Whether a membership still counts an identity that no machine has. */
+/* Whether a node's membership contains an identity that no node has. */
 static gboolean
-counts_the_dead(const world_t *w, const node_t *n)
+has_dead_member(const world_t *w, const node_t *n)
 {
     const voter_config_t *config = voter_config(n->voter);
     for (guint i = 0; i < config->count; i++) {
@@ -516,14 +529,15 @@
     return FALSE;
 }
 
-/* A voter that lost its disk comes back under a new identity. One disk at a
- * time: the next when the one before is replaced in the membership. */
+/* A voter loses its disk and rejoins under a new identity. Only one at a time:
+ * the next disk is lost after the previous identity was replaced in the
+ * membership. */
 static void
 lose_disk(world_t *w, node_t *n)
 {
     for (guint i = 0; i < w->count; i++) {
         const node_t *other = &w->nodes[i];
-        if (other->lost || !other->voter || counts_the_dead(w, other)) {
+        if (other->rejoining || !other->voter || has_dead_member(w, other)) {
             return;
         }
     }
@@ -531,7 +545,7 @@
     disk_clear(&n->disk);
     n->disk.entries = g_ptr_array_new_with_free_func(entry_free);
     n->id = ++w->next_id;
-    n->lost = TRUE;
+    n->rejoining = TRUE;
     node_start(w, n);
 }
 
@@ -547,7 +561,7 @@
         repair_state_t state =
             voter_repair_step(leader->voter, name, n->id, clock_of(w, leader));
         if (state == REPAIR_DONE) {
-            n->lost = FALSE;
+            n->rejoining = FALSE;
         }
         if (state == REPAIR_PROPOSED) {
             return;
@@ -555,22 +569,22 @@
     }
 }
 
-/* Another machine takes the place of one that is gone for good. */
+/* An empty voter on another machine replaces this one for good. */
 static void
 replace(world_t *w, node_t *n)
 {
-    guint64 before = n->id;
+    guint64 previous_id = n->id;
     char name = n->name;
     n->name = (char)('a' + w->count + w->replaced);
     lose_disk(w, n);
-    if (n->id == before) {
-        n->name = name; /* another is still being taken in */
+    if (n->id == previous_id) {
+        n->name = name; /* another voter is still rejoining */
         return;
     }
     w->replaced++;
 }
 
-/* The leader takes out what is gone, by how long it was silent. */
+/* The leader removes a dead member, by the time since its last contact. */
 static void
 remove_dead(world_t *w, node_t *leader)
 {
@@ -583,7 +597,7 @@
         silent_us[i] = G_MAXINT64;
         for (guint k = 0; k < w->count; k++) {
             if (w->nodes[k].id == config->members[i].id) {
-                silent_us[i] = w->now - w->nodes[k].heard_us;
+                silent_us[i] = w->now_us - w->nodes[k].last_up_us;
             }
         }
     }
@@ -594,23 +608,24 @@
 partition(world_t *w)
 {
     gboolean heal = g_rand_boolean(w->rand);
-    guint side = (guint)g_rand_int_range(w->rand, 0, 1 << w->count);
+    guint side_mask = (guint)g_rand_int_range(w->rand, 0, 1 << w->count);
     for (guint i = 0; i < w->count; i++) {
         for (guint k = 0; k < w->count; k++) {
-            w->cut[i][k] = !heal && ((side >> i) & 1) != ((side >> k) & 1);
+            w->cut[i][k] =
+                !heal && ((side_mask >> i) & 1) != ((side_mask >> k) & 1);
         }
     }
     if (!heal && g_rand_boolean(w->rand)) {
-        /* One way only: it sends but hears nothing. */
-        guint deaf = (guint)g_rand_int_range(w->rand, 0, (gint)w->count);
+        /* One-way partition: the node can send but not receive. */
+        guint send_only = (guint)g_rand_int_range(w->rand, 0, (gint)w->count);
         for (guint i = 0; i < w->count; i++) {
-            w->cut[deaf][i] = FALSE;
+            w->cut[send_only][i] = FALSE;
         }
     }
 }
 
 static void
-trouble(world_t *w)
+inject_fault(world_t *w)
 {
     node_t *n = &w->nodes[g_rand_int_range(w->rand, 0, (gint)w->count)];
     switch (g_rand_int_range(w->rand, 0, 60)) {
@@ -632,18 +647,18 @@
         }
         break;
     case 5:
-        /* A clock jumps ahead, but never by more than the lease allows. */
+        /* The clock jumps ahead, never more than the lease allows. */
         n->skew_us += g_rand_int_range(w->rand, 0, ELECTION_US / 50);
         break;
     case 6:
     case 7:
         w->pauses++;
-        n->paused_until =
-            w->now + STEP_US * g_rand_int_range(w->rand, 1, PAUSE_STEPS);
+        n->paused_until_us =
+            w->now_us + STEP_US * g_rand_int_range(w->rand, 1, PAUSE_STEPS);
         break;
     case 8:
         if (g_rand_int_range(w->rand, 0, 6) == 0 &&
-            w->replaced < REPLACED_MAX) {
+            w->replaced < REPLACEMENTS_MAX) {
             replace(w, n);
         }
         break;
@@ -653,21 +668,21 @@
 }
 
 static void
-step(world_t *w)
+world_step(world_t *w)
 {
-    w->now += STEP_US;
-    deliver(w);
+    w->now_us += STEP_US;
+    deliver_packets(w);
     platform_step(w);
     for (guint i = 0; i < w->count; i++) {
         node_t *n = &w->nodes[i];
         if (n->voter) {
-            duty_act(w, n);
+            make_duty_call(w, n);
         }
-        if (n->voter && w->now < n->paused_until) {
-            read_check(w, n);
+        if (n->voter && w->now_us < n->paused_until_us) {
+            check_read(w, n);
         }
         else if (n->voter) {
-            n->heard_us = w->now;
+            n->last_up_us = w->now_us;
             voter_tick(n->voter, clock_of(w, n));
             if (g_rand_int_range(w->rand, 0, 8) == 0) {
                 propose(w, n);
@@ -676,26 +691,26 @@
                 repair(w, n);
                 remove_dead(w, n);
             }
-            read_check(w, n);
-            drive(w, i);
+            check_read(w, n);
+            process_ready(w, i);
         }
     }
-    if (!w->calm) {
-        trouble(w);
+    if (!w->fault_free) {
+        inject_fault(w);
     }
 }
 
 static void
-world_init(world_t *w, guint seed, gboolean brisk)
+world_init(world_t *w, guint seed, gboolean fast_network)
 {
-    *w = (world_t){.brisk = brisk,
+    *w = (world_t){.fast_network = fast_network,
                    .rand = g_rand_new_with_seed(seed),
                    .call_rand = g_rand_new_with_seed(seed),
                    .count = seed % 2 ? 3 : 5,
-                   .now = WORLD_START_US,
+                   .now_us = WORLD_START_US,
                    .next_id = 100,
                    .platform = {.machine = MACHINES_MAX}};
-    w->chosen = g_array_new(FALSE, TRUE, sizeof(guint32));
+    w->applied_marks = g_array_new(FALSE, TRUE, sizeof(guint32));
     w->leaders = g_hash_table_new(NULL, NULL);
     voter_config_t config = {.count = w->count};
     for (guint i = 0; i < w->count; i++) {
@@ -706,7 +721,7 @@
         node_t *n = &w->nodes[i];
         n->id = i + 1;
         n->name = (char)('a' + i);
-        n->heard_us = w->now;
+        n->last_up_us = w->now_us;
         n->state = g_array_new(FALSE, FALSE, sizeof(guint32));
         n->disk.entries = g_ptr_array_new_with_free_func(entry_free);
         n->disk.snapshot.config = config;
@@ -714,56 +729,59 @@
     }
 }
 
-/* Heals everything and lets it settle: all must agree in the end. */
+/* Ends all faults and runs until all nodes agree. */
 static void
-settle(world_t *w)
+converge(world_t *w)
 {
-    w->calm = TRUE;
+    w->fault_free = TRUE;
     memset(w->cut, 0, sizeof(w->cut));
     for (guint i = 0; i < w->count; i++) {
-        w->nodes[i].paused_until = 0;
+        w->nodes[i].paused_until_us = 0;
         if (!w->nodes[i].voter) {
             node_start(w, &w->nodes[i]);
         }
     }
-    for (int i = 0; i < SETTLE_STEPS && !w->wrong; i++) {
-        step(w);
-        gboolean same = i > 100;
-        for (guint k = 0; k < w->count && same; k++) {
-            same = w->nodes[k].state_index == w->nodes[0].state_index &&
-                   !w->nodes[k].lost && !counts_the_dead(w, &w->nodes[k]);
+    for (int i = 0; i < CONVERGE_STEPS_MAX && !w->violation; i++) {
+        world_step(w);
+        gboolean converged = i > 100;
+        for (guint k = 0; k < w->count && converged; k++) {
+            converged = w->nodes[k].state_index == w->nodes[0].state_index &&
+                        !w->nodes[k].rejoining &&
+                        !has_dead_member(w, &w->nodes[k]);
         }
-        if (same && w->operation_count >= OPERATIONS_MAX) {
+        if (converged && w->operation_count >= OPERATIONS_MAX) {
             break;
         }
     }
 }
 
-/* What clients saw fits one order: each once, and an operation that was
- * answered before another was called stands before it. */
+/* Whether the log is a linearization of the writes: each occurs at most once,
+ * answered ones occur, and a write that was answered before another was called
+ * precedes it. */
 static gboolean
 linearizable(const world_t *w, const GArray *order)
 {
-    gint64 place[OPERATIONS_MAX];
-    memset(place, -1, sizeof(place));
+    gint64 position[OPERATIONS_MAX];
+    memset(position, -1, sizeof(position));
     for (guint i = 0; i < order->len; i++) {
         guint value = g_array_index(order, guint32, i) - 1;
-        if (place[value] >= 0) {
+        if (position[value] >= 0) {
             return FALSE;
         }
-        place[value] = i;
+        position[value] = i;
     }
     for (guint a = 0; a < w->operation_count; a++) {
         const operation_t *first = &w->operations[a];
-        if (first->answered == 0) {
+        if (first->answered_us == 0) {
             continue;
         }
-        if (place[a] < 0) {
+        if (position[a] < 0) {
             return FALSE;
         }
         for (guint b = 0; b < w->operation_count; b++) {
-            if (place[b] >= 0 && first->answered < w->operations[b].called &&
-                place[a] > place[b]) {
+            if (position[b] >= 0 &&
+                first->answered_us < w->operations[b].called_us &&
+                position[a] > position[b]) {
                 return FALSE;
             }
         }
@@ -779,16 +797,16 @@
         disk_clear(&w->nodes[i].disk);
         g_array_unref(w->nodes[i].state);
     }
-    for (guint i = 0; i < w->in_flight; i++) {
-        g_bytes_unref(w->flight[i].bytes);
+    for (guint i = 0; i < w->packet_count; i++) {
+        g_bytes_unref(w->packets[i].bytes);
     }
-    g_array_unref(w->chosen);
+    g_array_unref(w->applied_marks);
     g_hash_table_unref(w->leaders);
     g_rand_free(w->rand);
     g_rand_free(w->call_rand);
 }
 
-/* What many histories came to. */
+/* Totals over many histories. */
 typedef struct {
     guint histories;
     guint answered;
@@ -798,17 +816,17 @@
     guint pauses;
     guint calls;
     guint changes;
-    guint unsettled;
-    guint unsettled_seed;
-    guint wrong;
-    guint wrong_seed;
+    guint unconverged;
+    guint unconverged_seed;
+    guint violations;
+    guint violation_seed;
 } totals_t;
 
 static gboolean
-settled(const world_t *w)
+has_converged(const world_t *w)
 {
     for (guint i = 0; i < w->count; i++) {
-        if (w->nodes[i].lost || counts_the_dead(w, &w->nodes[i]) ||
+        if (w->nodes[i].rejoining || has_dead_member(w, &w->nodes[i]) ||
             w->nodes[i].state_index != w->nodes[0].state_index) {
             return FALSE;
         }
@@ -817,17 +835,17 @@
 }
 
 static void
-run_history(guint seed, gboolean brisk, totals_t *totals)
+run_history(guint seed, gboolean fast_network, totals_t *totals)
 {
     world_t w;
-    world_init(&w, seed, brisk);
-    for (int i = 0; i < STEPS && !w.wrong; i++) {
-        step(&w);
+    world_init(&w, seed, fast_network);
+    for (int i = 0; i < FAULT_STEPS && !w.violation; i++) {
+        world_step(&w);
     }
-    settle(&w);
+    converge(&w);
     totals->histories++;
     for (guint i = 0; i < w.operation_count; i++) {
-        totals->answered += w.operations[i].answered > 0;
+        totals->answered += w.operations[i].answered_us > 0;
     }
     totals->reads += w.reads;
     totals->repaired += w.next_id > 100;
@@ -835,45 +853,48 @@
     totals->pauses += w.pauses;
     totals->calls += w.platform.calls;
     totals->changes += w.platform.changes;
-    if (!settled(&w)) {
-        totals->unsettled++;
-        totals->unsettled_seed = seed;
+    if (!has_converged(&w)) {
+        totals->unconverged++;
+        totals->unconverged_seed = seed;
     }
-    if (w.wrong || !linearizable(&w, w.nodes[0].state)) {
-        totals->wrong++;
-        totals->wrong_seed = seed;
+    if (w.violation || !linearizable(&w, w.nodes[0].state)) {
+        totals->violations++;
+        totals->violation_seed = seed;
     }
     world_clear(&w);
 }
 
 static void
-totals_add(totals_t *sum, const totals_t *part)
+totals_add(totals_t *total, const totals_t *child_totals)
 {
-    sum->histories += part->histories;
-    sum->answered += part->answered;
-    sum->reads += part->reads;
-    sum->repaired += part->repaired;
-    sum->replaced += part->replaced;
-    sum->pauses += part->pauses;
-    sum->calls += part->calls;
-    sum->changes += part->changes;
-    sum->unsettled += part->unsettled;
-    sum->unsettled_seed = MAX(sum->unsettled_seed, part->unsettled_seed);
-    sum->wrong += part->wrong;
-    sum->wrong_seed = MAX(sum->wrong_seed, part->wrong_seed);
+    total->histories += child_totals->histories;
+    total->answered += child_totals->answered;
+    total->reads += child_totals->reads;
+    total->repaired += child_totals->repaired;
+    total->replaced += child_totals->replaced;
+    total->pauses += child_totals->pauses;
+    total->calls += child_totals->calls;
+    total->changes += child_totals->changes;
+    total->unconverged += child_totals->unconverged;
+    total->unconverged_seed =
+        MAX(total->unconverged_seed, child_totals->unconverged_seed);
+    total->violations += child_totals->violations;
+    total->violation_seed =
+        MAX(total->violation_seed, child_totals->violation_seed);
 }
 
-/* One child runs every `stride`-th history and writes its totals. Threads
- * would wait for each other at GVariant's table of types. */
+/* Starts a child process that runs every `stride`-th history and writes its
+ * totals to the pipe. Threads would contend for the lock of GVariant's type
+ * table. */
 static int
-start_child(guint first, guint last, guint stride, gboolean brisk)
+start_child(guint first, guint last, guint stride, gboolean fast_network)
 {
     int ends[2];
     g_assert_cmpint(pipe(ends), ==, 0);
     if (fork() == 0) {
         totals_t totals = {0};
         for (guint seed = first; seed <= last; seed += stride) {
-            run_history(seed, brisk, &totals);
+            run_history(seed, fast_network, &totals);
         }
         gssize wrote = write(ends[1], &totals, sizeof(totals));
         _exit(wrote == sizeof(totals) ? 0 : 1);
@@ -882,24 +903,27 @@
     return ends[0];
 }
 
-/* VOTER_SEED runs a single history, VOTER_HISTORIES so many. */
+/* VOTER_SEED selects a single history, VOTER_HISTORIES the number of
+ * histories. */
 static totals_t
-run_histories(gboolean brisk)
-{
-    const char *wanted = g_getenv("VOTER_SEED");
-    const char *fewer = g_getenv("VOTER_HISTORIES");
-    guint first = wanted ? (guint)atoi(wanted) : 1;
-    guint last = wanted ? first : fewer ? (guint)atoi(fewer) : HISTORIES;
-    int ends[CHILDREN];
+run_histories(gboolean fast_network)
+{
+    const char *only_seed = g_getenv("VOTER_SEED");
+    const char *history_count = g_getenv("VOTER_HISTORIES");
+    guint first = only_seed ? (guint)atoi(only_seed) : 1;
+    guint last = only_seed       ? first
+                 : history_count ? (guint)atoi(history_count)
+                                 : HISTORIES;
+    int ends[PROCESSES];
     totals_t totals = {0};
-    for (guint i = 0; i < CHILDREN; i++) {
-        ends[i] = start_child(first + i, last, CHILDREN, brisk);
-    }
-    for (guint i = 0; i < CHILDREN; i++) {
-        totals_t part;
-        gssize got = read(ends[i], &part, sizeof(part));
-        CU_ASSERT_EQUAL_FATAL(got, (gssize)sizeof(part));
-        totals_add(&totals, &part);
+    for (guint i = 0; i < PROCESSES; i++) {
+        ends[i] = start_child(first + i, last, PROCESSES, fast_network);
+    }
+    for (guint i = 0; i < PROCESSES; i++) {
+        totals_t child_totals;
+        gssize got = read(ends[i], &child_totals, sizeof(child_totals));
+        CU_ASSERT_EQUAL_FATAL(got, (gssize)sizeof(child_totals));
+        totals_add(&totals, &child_totals);
         close(ends[i]);
         wait(NULL);
     }
@@ -908,14 +932,14 @@
            "settled (seed %u), %u wrong (seed %u) ",
            totals.histories, totals.answered, totals.reads, totals.repaired,
            totals.replaced, totals.pauses, totals.calls, totals.changes,
-           totals.unsettled, totals.unsettled_seed, totals.wrong,
-           totals.wrong_seed);
+           totals.unconverged, totals.unconverged_seed, totals.violations,
+           totals.violation_seed);
     CU_ASSERT_EQUAL(totals.histories, last - first + 1);
     CU_ASSERT(totals.answered > 0);
     CU_ASSERT(totals.pauses > 0);
     CU_ASSERT(totals.histories < 100 || totals.replaced > 0);
-    CU_ASSERT_EQUAL(totals.wrong, 0);
-    CU_ASSERT_EQUAL(totals.unsettled, 0);
+    CU_ASSERT_EQUAL(totals.violations, 0);
+    CU_ASSERT_EQUAL(totals.unconverged, 0);
     return totals;
 }
 
@@ -925,16 +949,16 @@
     run_histories(FALSE);
 }
 
-/* Leases hold amid trouble, so that holders follow each other in it. */
+/* Leases hold despite faults, so that duties change holders during them. */
 static void
-test_holders(void)
+test_single_duty_holder(void)
 {
     totals_t totals = run_histories(TRUE);
     CU_ASSERT(totals.changes > totals.histories);
 }
 
 static void
-test_codec_refuses(void)
+test_codec_rejects_malformed(void)
 {
     voter_message_t m = {.kind = VOTER_APPEND, .from = 1, .to = 2, .index = 4};
     m.entries = g_ptr_array_new_with_free_func(entry_free);
@@ -943,7 +967,8 @@
         .index = 6, .term = 1, .kind = ENTRY_COMMAND, .data = data};
     g_ptr_array_add(m.entries, log_entry_copy(&entry));
     GBytes *bytes = voter_message_write(&m);
-    CU_ASSERT_PTR_NULL(voter_message_read(bytes)); /* a gap in the entries */
+    /* There is a gap between `index` and the entry. */
+    CU_ASSERT_PTR_NULL(voter_message_read(bytes));
     gsize length;
     const guint8 *raw = g_bytes_get_data(bytes, &length);
     GRand *rand = g_rand_new_with_seed(3);
@@ -953,13 +978,13 @@
             copy[g_rand_int_range(rand, 0, (gint)length)] =
                 (guint8)g_rand_int(rand);
         }
-        GBytes *torn = g_bytes_new_take(
+        GBytes *truncated = g_bytes_new_take(
             copy, (gsize)g_rand_int_range(rand, 0, (gint)length + 1));
-        voter_message_t *read = voter_message_read(torn);
+        voter_message_t *read = voter_message_read(truncated);
         if (read != NULL) {
             voter_message_free(read);
         }
-        g_bytes_unref(torn);
+        g_bytes_unref(truncated);
     }
     g_rand_free(rand);
     g_bytes_unref(bytes);
@@ -969,8 +994,8 @@
 
 static const test_case_t cases[] = {
     {"what clients saw is linearizable", test_histories},
-    {"duties have one holder at a time", test_holders},
-    {"malformed messages are refused", test_codec_refuses},
+    {"duties have one holder at a time", test_single_duty_holder},
+    {"malformed messages are refused", test_codec_rejects_malformed},
 };
 
 CHECK_MAIN("voter", cases)
