--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -1,6 +1,6 @@
-/* The duties' decisions without a network: the time of day of the site, usage
- * windows over lost instances and changes of holder, and what is written of
- * them. */
+/* Decisions of the duty holder without a network: the duty lease, the time of
+ * day of the site, usage windows across the loss of instances and changes of
+ * the holder, and their stored form. */
 #include <string.h>
 
 #include "../carobloomd/control/log_state.h"
@@ -18,10 +18,10 @@
 
 typedef struct {
     const char *name;
-    gboolean first_start;
-    gint64 acted_ms; /* before it leads again; -1: it did not act */
-    gint64 leads_ms; /* when it leads again */
-    gint64 acts_ms;  /* and may act from then on */
+    gboolean first_incarnation;
+    gint64 last_call_ms; /* before the lease is acquired again; -1: none */
+    gint64 acquired_ms;  /* when the lease is acquired again */
+    gint64 allowed_ms;   /* when calls are allowed again */
 } lease_case_t;
 
 static const lease_case_t LEASE_CASES[] = {
@@ -35,27 +35,27 @@
 static void
 lease_case(const lease_case_t *c)
 {
-    enum { APART_MS = 3000, LEASE_MS = 700 };
+    enum { ALTERNATION_MS = 3000, LEASE_MS = 700 };
     duty_lease_t lease;
-    duty_lease_init(&lease, APART_MS * MS, c->first_start, 0);
-    if (c->acted_ms >= 0) {
-        gint64 at = c->acted_ms * MS;
+    duty_lease_init(&lease, ALTERNATION_MS * MS, c->first_incarnation, 0);
+    if (c->last_call_ms >= 0) {
+        gint64 at = c->last_call_ms * MS;
         CU_ASSERT(duty_lease_update(&lease, TRUE, 4, at + SECOND, at));
         CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, at), 4);
         CU_ASSERT(duty_lease_update(&lease, FALSE, 5, 0, at + MS));
         CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, at + MS), 0);
     }
-    for (gint64 ms = c->leads_ms; ms < c->acts_ms + 100; ms += 50) {
+    for (gint64 ms = c->acquired_ms; ms < c->allowed_ms + 100; ms += 50) {
         duty_lease_update(&lease, TRUE, 6, (ms + LEASE_MS) * MS, ms * MS);
         guint64 token = duty_lease_token(&lease, ms * MS);
-        if (token != (ms >= c->acts_ms ? 6u : 0u)) {
+        if (token != (ms >= c->allowed_ms ? 6u : 0u)) {
             printf("%s: token %lu at %ld ms\n", c->name, (unsigned long)token,
                    (long)ms);
             CU_FAIL("the lease");
         }
     }
-    /* Not renewed, it ends by itself. */
-    gint64 last_us = (c->acts_ms + 50 + LEASE_MS) * MS;
+    /* A lease that is not renewed expires. */
+    gint64 last_us = (c->allowed_ms + 50 + LEASE_MS) * MS;
     CU_ASSERT_EQUAL(duty_lease_authorize_call(&lease, last_us), 0);
 }
 
@@ -71,8 +71,9 @@
 
 enum { CLOCKS = 9, CLOCK_TRIES = 2000 };
 
-/* Fewer than half of the clocks are wrong, by whatever they please: the time
- * lies between those that are right. */
+/* Guards against a wrong clock that shifts the time of the site. With fewer
+ * than half of the clocks wrong by any amount, the time lies between the
+ * correct clocks. */
 static void
 test_clock(void)
 {
@@ -97,17 +98,17 @@
                 site_clock_record(clock, name, wall + off, now);
             }
         }
-        gint64 told = site_clock_wall_us(clock, own, now);
-        CU_ASSERT(told >= wall && told <= wall + spread);
+        gint64 median = site_clock_wall_us(clock, own, now);
+        CU_ASSERT(median >= wall && median <= wall + spread);
         CU_ASSERT_EQUAL(site_clock_count(clock), count);
         site_clock_destroy(clock);
     }
     g_rand_free(random);
 }
 
-/* A clock that is not heard of any more does not count. */
+/* Guards against a silent instance whose clock still counts. */
 static void
-test_clock_forgets(void)
+test_clock_expires(void)
 {
     site_clock_t *clock = site_clock_create();
     gint64 wall = 1700000000 * (gint64)SECOND;
@@ -121,8 +122,8 @@
 
 /* ---- windows ---- */
 
-static const usage_schedule_t TIMES = {.window_us = 5 * SECOND,
-                                       .due_us = 10 * SECOND};
+static const usage_schedule_t SCHEDULE = {.window_us = 5 * SECOND,
+                                          .due_us = 10 * SECOND};
 
 static void
 report(usage_book_t *book, guint64 incarnation, guint64 window,
@@ -134,7 +135,7 @@
     usage_window_free(w);
 }
 
-/* 0 where there is none. */
+/* 0 if there is no window. */
 static guint64
 window_of(const usage_window_t *w)
 {
@@ -153,8 +154,8 @@
     return 0;
 }
 
-/* What is told twice, late or out of order counts once; an instance that
- * started again counts beside what it told before. */
+/* Guards against counts that are added twice: reports may be repeated, delayed
+ * or out of order. A new incarnation counts in addition to the one before. */
 static void
 test_reports_count_once(void)
 {
@@ -166,10 +167,10 @@
     report(book, 2, 100, "t", 1);
     report(book, 2, 100, "u", 3);
     report(book, 2, 101, "t", 50);
-    gint64 end = 101 * TIMES.window_us;
-    CU_ASSERT_PTR_NULL(usage_book_next_final(book, &TIMES, 0, end));
+    gint64 end = 101 * SCHEDULE.window_us;
+    CU_ASSERT_PTR_NULL(usage_book_next_final(book, &SCHEDULE, 0, end));
     usage_window_t *w =
-        usage_book_next_final(book, &TIMES, 0, end + 2 * SECOND);
+        usage_book_next_final(book, &SCHEDULE, 0, end + 2 * SECOND);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 100);
     CU_ASSERT_EQUAL(count_of(w, "t"), 10);
@@ -181,11 +182,11 @@
 
 typedef struct {
     const char *name;
-    gint64 began_s;  /* the holder leads since, after the window's end */
-    gint64 fixed_ms; /* the window is fixed then, after its end */
-} due_case_t;
+    gint64 leader_since_s; /* when the leader began, after the window's end */
+    gint64 finalized_ms;   /* when the window is finalized, after its end */
+} finalize_case_t;
 
-static const due_case_t DUE_CASES[] = {
+static const finalize_case_t FINALIZE_CASES[] = {
     {"a holder that led all along", -30, 1500},
     {"one that has just come waits for the reports", 1, 3500},
     {"but not beyond the time that is left", 6, 7500},
@@ -193,48 +194,49 @@
 };
 
 static void
-due_case(const due_case_t *c)
+finalize_case(const finalize_case_t *c)
 {
     usage_book_t *book = usage_book_create();
-    gint64 end = 101 * TIMES.window_us;
-    usage_book_start_term(book, end + c->began_s * SECOND);
+    gint64 end = 101 * SCHEDULE.window_us;
+    usage_book_start_term(book, end + c->leader_since_s * SECOND);
     report(book, 1, 100, "t", 7);
-    gint64 fixed = 0;
-    for (gint64 ms = MAX(c->began_s * 1000, 0); ms < 30000 && fixed == 0;
-         ms += 100) {
+    gint64 finalized = 0;
+    for (gint64 ms = MAX(c->leader_since_s * 1000, 0);
+         ms < 30000 && finalized == 0; ms += 100) {
         usage_window_t *w =
-            usage_book_next_final(book, &TIMES, 99, end + ms * MS);
+            usage_book_next_final(book, &SCHEDULE, 99, end + ms * MS);
         if (w != NULL) {
-            fixed = ms;
+            finalized = ms;
             CU_ASSERT_EQUAL(count_of(w, "t"), 7);
             usage_window_free(w);
         }
     }
-    if (fixed != c->fixed_ms) {
-        printf("%s: fixed at %ld ms\n", c->name, (long)fixed);
+    if (finalized != c->finalized_ms) {
+        printf("%s: finalized at %ld ms\n", c->name, (long)finalized);
     }
-    CU_ASSERT_EQUAL(fixed, c->fixed_ms);
+    CU_ASSERT_EQUAL(finalized, c->finalized_ms);
     usage_book_destroy(book);
 }
 
 static void
-test_windows_fixed_in_time(void)
+test_windows_finalized_in_time(void)
 {
-    for (gsize i = 0; i < G_N_ELEMENTS(DUE_CASES); i++) {
-        due_case(&DUE_CASES[i]);
+    for (gsize i = 0; i < G_N_ELEMENTS(FINALIZE_CASES); i++) {
+        finalize_case(&FINALIZE_CASES[i]);
     }
 }
 
-/* An entry instance that fell silent is waited for as long as there is time:
- * it served its callers and tells of them when it is back. One that has been
- * silent for longer, or told after the window's end, is not. */
+/* Guards against the loss of counts of an entry instance that is cut off. Such
+ * an instance served its callers and reports their requests later, so the
+ * window waits for it while there is time. An instance that has been silent
+ * for longer, or that reported after the window's end, isn't waited for. */
 static void
-test_window_waits(void)
+test_window_waits_for_reports(void)
 {
     static const struct {
-        gint64 heard_ms; /* its last report, against the window's end */
-        gint64 back_ms;  /* the next one; 0: none */
-        gint64 fixed_ms;
+        gint64 last_report_ms; /* relative to the window's end */
+        gint64 next_report_ms; /* the next report; 0: none */
+        gint64 finalized_ms;
     } CASES[] = {
         {-250, 0, 7500},   {-250, 4000, 4000}, {-6000, 4000, 4000},
         {-9900, 0, 7500},  {-10100, 0, 1500},  {0, 0, 1500},
@@ -242,53 +244,55 @@
     };
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
         usage_book_t *book = usage_book_create();
-        gint64 end = 101 * TIMES.window_us;
-        gint64 fixed = -1;
+        gint64 end = 101 * SCHEDULE.window_us;
+        gint64 finalized = -1;
         usage_book_start_term(book, 0);
         report(book, 1, 100, "t", 7);
-        usage_book_record_contact(book, 1, end + CASES[i].heard_ms * MS);
-        for (gint64 ms = 0; ms < 10000 && fixed < 0; ms += 100) {
-            if (ms == CASES[i].back_ms && ms != 0) {
+        usage_book_record_contact(book, 1, end + CASES[i].last_report_ms * MS);
+        for (gint64 ms = 0; ms < 10000 && finalized < 0; ms += 100) {
+            if (ms == CASES[i].next_report_ms && ms != 0) {
                 report(book, 1, 100, "t", 9);
                 usage_book_record_contact(book, 1, end + ms * MS);
             }
             usage_window_t *w =
-                usage_book_next_final(book, &TIMES, 99, end + ms * MS);
+                usage_book_next_final(book, &SCHEDULE, 99, end + ms * MS);
             if (w != NULL) {
-                gboolean back =
-                    CASES[i].back_ms != 0 && CASES[i].back_ms <= ms;
-                CU_ASSERT_EQUAL(count_of(w, "t"), back ? 9 : 7);
-                fixed = ms;
+                gboolean reported = CASES[i].next_report_ms != 0 &&
+                                    CASES[i].next_report_ms <= ms;
+                CU_ASSERT_EQUAL(count_of(w, "t"), reported ? 9 : 7);
+                finalized = ms;
                 usage_window_free(w);
             }
         }
-        CU_ASSERT_EQUAL(fixed, CASES[i].fixed_ms);
+        CU_ASSERT_EQUAL(finalized, CASES[i].finalized_ms);
         usage_book_destroy(book);
     }
 }
 
-/* A window without a request is told too; after an outage longer than what is
- * kept, those that nobody can know of are passed over. */
+/* Guards against gaps. A window without requests is reported too; after an
+ * outage of more windows than are kept, the windows that no instance has
+ * counts of are skipped. */
 static void
-test_windows_in_a_row(void)
+test_windows_in_order(void)
 {
     usage_book_t *book = usage_book_create();
     usage_book_start_term(book, 0);
-    gint64 now = 200 * TIMES.window_us;
-    usage_window_t *w = usage_book_next_final(book, &TIMES, 197, now);
+    gint64 now = 200 * SCHEDULE.window_us;
+    usage_window_t *w = usage_book_next_final(book, &SCHEDULE, 197, now);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 198);
     CU_ASSERT_EQUAL(usage_window_total(w), 0);
     usage_window_free(w);
-    w = usage_book_next_final(book, &TIMES, 100, now);
+    w = usage_book_next_final(book, &SCHEDULE, 100, now);
     CU_ASSERT_PTR_NOT_NULL_FATAL(w);
     CU_ASSERT_EQUAL(window_of(w), 200 - USAGE_WINDOWS_MAX);
     usage_window_free(w);
     usage_book_destroy(book);
 }
 
-/* Of two proposals for a window the first in the log holds, whoever made it:
- * all holders tell the same figures. */
+/* Guards against two duty holders that report different counts. Of two
+ * proposals for a window the first in the log is valid, whichever instance
+ * made it. */
 static void
 test_figures_never_change(void)
 {
@@ -306,18 +310,19 @@
     usage_ledger_t *restored = usage_ledger_read(saved);
     CU_ASSERT_PTR_NOT_NULL_FATAL(restored);
     CU_ASSERT_FALSE(usage_command_apply(restored, b));
-    const usage_window_t *untold = usage_ledger_next_unaccepted(restored, 0);
-    CU_ASSERT_PTR_NOT_NULL_FATAL(untold);
-    CU_ASSERT_EQUAL(count_of(untold, "t"), 7);
+    const usage_window_t *unaccepted =
+        usage_ledger_next_unaccepted(restored, 0);
+    CU_ASSERT_PTR_NOT_NULL_FATAL(unaccepted);
+    CU_ASSERT_EQUAL(count_of(unaccepted, "t"), 7);
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 100));
-    GBytes *take = usage_take_command(100);
-    CU_ASSERT(usage_command_apply(restored, take));
+    GBytes *accept = usage_take_command(100);
+    CU_ASSERT(usage_command_apply(restored, accept));
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 0));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(restored), 100);
     g_bytes_unref(a);
     g_bytes_unref(b);
     g_bytes_unref(saved);
-    g_bytes_unref(take);
+    g_bytes_unref(accept);
     usage_window_free(first);
     usage_window_free(second);
     usage_ledger_destroy(ledger);
@@ -337,16 +342,17 @@
 
 static void
 check_state(const log_state_t *state, guint64 version, const char *text,
-            guint64 fixed_through)
+            guint64 finalized_through)
 {
     CU_ASSERT_EQUAL(state->version, version);
     CU_ASSERT(str_equal(str_from_bytes(state->text), str_from_cstr(text)));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(state->usage),
-                    fixed_through);
+                    finalized_through);
 }
 
-/* A log, or a snapshot, that was written when it held configurations only is
- * read as it was; what is fixed is in the snapshot and stays over it. */
+/* Guards against an upgrade that cannot read its log: a log or snapshot from a
+ * version that stored configurations only is still read. Finalized windows are
+ * part of the snapshot and are restored from it. */
 static void
 test_log_state(void)
 {
@@ -359,8 +365,8 @@
     GBytes *older = old_command(6, "{}");
     usage_window_t *w = usage_window_create(100);
     usage_window_add(w, "t", 7);
-    GBytes *fix = usage_fix_command(w);
-    GBytes *command = log_usage_command(fix);
+    GBytes *finalize = usage_fix_command(w);
+    GBytes *command = log_usage_command(finalize);
     CU_ASSERT_EQUAL(log_state_apply(&state, empty), 0);
     CU_ASSERT_EQUAL(log_state_apply(&state, old), LOG_STATE_CONFIG);
     CU_ASSERT_EQUAL(log_state_apply(&state, older), 0);
@@ -375,7 +381,7 @@
     g_bytes_unref(empty);
     g_bytes_unref(old);
     g_bytes_unref(older);
-    g_bytes_unref(fix);
+    g_bytes_unref(finalize);
     g_bytes_unref(command);
     g_bytes_unref(snapshot);
     usage_window_free(w);
@@ -383,18 +389,19 @@
     log_state_clear(&restored);
 }
 
-/* Bounded whatever comes. */
+/* Guards against unbounded memory: teams and windows beyond the maximum are
+ * left out. */
 static void
 test_tally_is_bounded(void)
 {
     usage_tally_t *tally = usage_tally_create();
-    guint taken = 0;
+    guint added = 0;
     for (guint i = 0; i < 2 * USAGE_TEAMS_MAX; i++) {
         char name[16];
         g_snprintf(name, sizeof(name), "t%u", i);
-        taken += usage_tally_add(tally, 1, name, 1);
+        added += usage_tally_add(tally, 1, name, 1);
     }
-    CU_ASSERT_EQUAL(taken, USAGE_TEAMS_MAX);
+    CU_ASSERT_EQUAL(added, USAGE_TEAMS_MAX);
     for (guint64 w = 2; w < 2 * USAGE_WINDOWS_MAX; w++) {
         usage_tally_add(tally, w, "t", 1);
     }
@@ -465,17 +472,18 @@
     g_bytes_unref(bytes);
 }
 
-/* Cut or changed bytes are refused or read to some report, no more. */
+/* Guards against malformed messages: truncated or changed bytes are refused or
+ * read as some report, without any other effect. */
 static void
 test_report_damaged(void)
 {
-    enum { TIMES_DAMAGED = 5000 };
+    enum { DAMAGED_TRIES = 5000 };
     GBytes *bytes = sample_report();
     gsize length;
     const char *data = g_bytes_get_data(bytes, &length);
     GRand *random = g_rand_new_with_seed(5);
     guint refused = 0;
-    for (int i = 0; i < TIMES_DAMAGED; i++) {
+    for (int i = 0; i < DAMAGED_TRIES; i++) {
         char *copy = g_memdup2(data, length);
         copy[g_rand_int_range(random, 0, (gint)length)] ^=
             (char)(1 << g_rand_int_range(random, 0, 8));
@@ -497,7 +505,7 @@
         }
         g_bytes_unref(changed);
     }
-    CU_ASSERT(refused > TIMES_DAMAGED / 2);
+    CU_ASSERT(refused > DAMAGED_TRIES / 2);
     g_rand_free(random);
     g_bytes_unref(bytes);
 }
@@ -505,11 +513,11 @@
 static const test_case_t cases[] = {
     {"when the lease lets act", test_lease},
     {"the time of day by the median", test_clock},
-    {"a silent clock is forgotten", test_clock_forgets},
+    {"a silent clock is forgotten", test_clock_expires},
     {"reports count once", test_reports_count_once},
-    {"windows are fixed in time", test_windows_fixed_in_time},
-    {"windows wait for who fell silent", test_window_waits},
-    {"windows in a row", test_windows_in_a_row},
+    {"windows are fixed in time", test_windows_finalized_in_time},
+    {"windows wait for who fell silent", test_window_waits_for_reports},
+    {"windows in a row", test_windows_in_order},
     {"figures never change", test_figures_never_change},
     {"the log, old and new", test_log_state},
     {"counts are bounded", test_tally_is_bounded},
