--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -1,6 +1,6 @@
-/* What an instance spends as the fleet grows: counted at two sizes, not timed.
- * Each case fails when a cost of one instance grows with the number of
- * endpoints or of instances. */
+/* Cost of an instance as the fleet grows, counted at two sizes instead of
+ * timed. Each case guards against a cost of one instance that grows with the
+ * number of endpoints or of instances. */
 #include "carobloom/gateway/limit_wire.h"
 #include "carobloom/gateway/sync_wire.h"
 #include "carobloom/policy/collector.h"
@@ -17,7 +17,8 @@
     LARGE = 10000, /* ten times as many */
 };
 
-/* The nth endpoint's lease, in texts that the caller keeps. */
+/* Lease of the nth endpoint. The caller keeps the struct, which holds the
+ * texts. */
 typedef struct {
     char id[16];
     char address[32];
@@ -35,7 +36,7 @@
     return &l->lease;
 }
 
-/* A directory that was told of so many endpoints of service "s". */
+/* Returns a directory with this many endpoints of service "s". */
 static directory_t *
 directory_of(guint endpoints)
 {
@@ -50,11 +51,12 @@
 /* ---- memory ---- */
 
 enum {
-    ENDPOINT_BYTES = 320, /* of one that never served */
+    ENDPOINT_BYTES = 320, /* of an endpoint that never served */
     PART_BYTES = 2 * 1024 * 1024,
 };
 
-/* Bytes for prompt parts after each endpoint was sent `parts` of its own. */
+/* Returns the bytes used for prompt parts after each endpoint was sent `parts`
+ * different parts. */
 static gsize
 part_bytes(guint endpoints, guint parts)
 {
@@ -81,24 +83,27 @@
     CU_ASSERT(part_bytes(LARGE, 1000) <= PART_BYTES);
 }
 
-/* With few endpoints as many parts are remembered of each as ever. */
+/* With few endpoints the maximum number of parts is recorded for each of
+ * them. */
 static void
 test_memory_of_few(void)
 {
     CU_ASSERT_EQUAL(part_bytes(200, 1000), 200 * 512 * sizeof(guint64));
 }
 
-/* Answers that callers do not read: streams are cut short first, then new
- * requests are refused, and whole answers are given up last. */
+/* Guards against answers that callers do not read and that fill the memory. As
+ * the buffered bytes grow, first the buffers of streams shrink, then new
+ * requests are refused, and last, answers that are buffered as a whole are
+ * given up. */
 static void
 test_answers_held(void)
 {
     enum { MB = 1024 * 1024, MEMORY = 160 * MB, CONNECTIONS = 1900 };
     static const struct {
         gsize held;
-        gboolean admits;
-        gboolean gathers;
-        gsize stream_most;
+        gboolean admits_request;
+        gboolean admits_buffered;
+        gsize stream_max;
     } HELD[] = {
         {0, TRUE, TRUE, 128 * 1024},       {15 * MB, TRUE, TRUE, 128 * 1024},
         {17 * MB, TRUE, TRUE, 4 * 1024},   {41 * MB, FALSE, TRUE, 4 * 1024},
@@ -106,11 +111,12 @@
     };
     for (gsize i = 0; i < G_N_ELEMENTS(HELD); i++) {
         gsize held = HELD[i].held;
-        CU_ASSERT_EQUAL(memory_admits(MEMORY, held), HELD[i].admits);
-        CU_ASSERT_EQUAL(memory_admits_buffered(MEMORY, held), HELD[i].gathers);
-        CU_ASSERT_EQUAL(memory_stream_max(MEMORY, held), HELD[i].stream_most);
+        CU_ASSERT_EQUAL(memory_admits(MEMORY, held), HELD[i].admits_request);
+        CU_ASSERT_EQUAL(memory_admits_buffered(MEMORY, held),
+                        HELD[i].admits_buffered);
+        CU_ASSERT_EQUAL(memory_stream_max(MEMORY, held), HELD[i].stream_max);
     }
-    /* All connections' streams, read by nobody. */
+    /* Streams on all connections, none of which is read. */
     gsize held = 0;
     for (guint i = 0; i < CONNECTIONS; i++) {
         held += memory_stream_max(MEMORY, held);
@@ -121,20 +127,20 @@
 /* ---- loads ---- */
 
 enum {
-    BUSY = 300,   /* endpoints with requests */
-    REPORTS = 20, /* in two seconds */
+    ACTIVE = 300, /* endpoints with requests in flight */
+    REPORTS = 20, /* during two seconds */
     REPORT_US = 100 * 1000,
 };
 
-/* Endpoints that are looked at while loads are reported for two seconds. */
+/* Returns the number of endpoints visited for two seconds of load reports. */
 static guint64
 visits_of(guint endpoints)
 {
     directory_t *d = directory_of(endpoints);
     const GPtrArray *list = directory_service(d, "s");
     GArray *sums = g_array_new(FALSE, FALSE, sizeof(endpoint_load_t));
-    for (guint i = 0; i < BUSY; i++) {
-        const endpoint_t *e = list->pdata[i * (endpoints / BUSY)];
+    for (guint i = 0; i < ACTIVE; i++) {
+        const endpoint_t *e = list->pdata[i * (endpoints / ACTIVE)];
         endpoint_load_t sum = {.endpoint = e->hash, .running = 2};
         g_array_append_val(sums, sum);
     }
@@ -144,7 +150,7 @@
         CU_ASSERT_EQUAL(own->len, 1);
         directory_apply_loads(d, sums, own);
         split_demand_t demand = directory_demand(d, "s", i * REPORT_US);
-        CU_ASSERT_EQUAL(demand.of_rest.running, 2 * BUSY);
+        CU_ASSERT_EQUAL(demand.of_rest.running, 2 * ACTIVE);
         CU_ASSERT_EQUAL(demand.engines, endpoints);
         g_array_unref(own);
     }
@@ -154,47 +160,50 @@
     return visits;
 }
 
-/* Ten times the endpoints, as many of them busy: at most twice the cost. */
+/* With ten times the endpoints, and the same number with requests in flight,
+ * the cost at most doubles. */
 static void
 test_load_visits(void)
 {
     guint64 small = visits_of(SMALL);
     guint64 large = visits_of(LARGE);
-    CU_ASSERT(small <= REPORTS * (3 * BUSY + SMALL + 4));
+    CU_ASSERT(small <= REPORTS * (3 * ACTIVE + SMALL + 4));
     CU_ASSERT(large <= 2 * small);
 }
 
-/* ---- news ---- */
+/* ---- number of entry instances ---- */
 
-/* Numbers of entry instances that are told while they come one by one: an
- * answer is written anew for each. */
+/* Returns how often the reported number of entry instances changes while they
+ * start one by one; each change writes a new answer to all of them. */
 static guint
-tellings_of(guint entries)
+count_changes(guint entries)
 {
-    guint tellings = 0;
-    guint told = 0;
+    guint changes = 0;
+    guint reported = 0;
     for (guint i = 1; i <= entries; i++) {
         guint now = collector_entries_told(i);
         CU_ASSERT(now <= i && now >= i - i / 16);
-        tellings += now != told;
-        told = now;
+        changes += now != reported;
+        reported = now;
     }
-    return tellings;
+    return changes;
 }
 
 static void
-test_tellings(void)
+test_entry_count_changes(void)
 {
-    CU_ASSERT_EQUAL(tellings_of(30), 30);
-    CU_ASSERT(tellings_of(1000) <= 120);
-    CU_ASSERT(tellings_of(10000) <= 2 * tellings_of(1000));
+    CU_ASSERT_EQUAL(count_changes(30), 30);
+    CU_ASSERT(count_changes(1000) <= 120);
+    CU_ASSERT(count_changes(10000) <= 2 * count_changes(1000));
 }
 
 /* ---- confirmations ---- */
 
-/* An entry instance whose configuration was confirmed half the bound for a
- * withdrawn key ago is not ready: however many ask, the leader holds no
- * question for so long that an answer half a bound late leaves it so. */
+/* Guards against entry instances that are not ready while the configuration is
+ * valid. An entry instance isn't ready once half of the revocation bound has
+ * passed since its last confirmation. However many entry instances poll, the
+ * leader holds no poll for so long that an answer half a bound late could
+ * cause this. */
 static void
 test_confirmations(void)
 {
@@ -234,10 +243,10 @@
     return r;
 }
 
-/* What an entry instance that starts is sent for its leases: the bytes of all
- * answers, each of which is bounded. */
+/* Returns the bytes that a starting entry instance receives for its leases, in
+ * answers of bounded size. */
 static gsize
-start_bytes(guint endpoints)
+initial_lease_bytes(guint endpoints)
 {
     registry_t *r = registry_of(endpoints);
     guint64 cursor = 0;
@@ -262,18 +271,19 @@
 }
 
 static void
-test_start(void)
+test_initial_leases(void)
 {
-    CU_ASSERT(start_bytes(SMALL) <= (gsize)SMALL * LEASE_BYTES);
-    CU_ASSERT(start_bytes(LARGE) <= (gsize)LARGE * LEASE_BYTES);
+    CU_ASSERT(initial_lease_bytes(SMALL) <= (gsize)SMALL * LEASE_BYTES);
+    CU_ASSERT(initial_lease_bytes(LARGE) <= (gsize)LARGE * LEASE_BYTES);
 }
 
-/* What asks about limits cost: nothing for an endpoint that this instance has
- * no use for, however many named one, and a fixed amount for each other. */
+/* Guards against grant requests for every limit that any endpoint named. An
+ * endpoint that this instance doesn't need costs nothing; any other costs a
+ * fixed number of bytes. */
 static void
-test_limit_asks(void)
+test_limit_requests(void)
 {
-    enum { MESSAGE_BYTES = 80, ASK_BYTES = 56, ASKS = 4 };
+    enum { MESSAGE_BYTES = 80, REQUEST_BYTES = 56, REQUESTS = 4 };
     limit_report_t report = {
         .from = "front-data-centre-1",
         .asks = g_array_new(FALSE, TRUE, sizeof(limit_ask_t))};
@@ -287,7 +297,7 @@
         const endpoint_t *e =
             directory_apply_limit(d, &state, &change, 1 * SECOND);
         CU_ASSERT_FATAL(e != NULL && change == LIMIT_FIRST);
-        if (i < ASKS) {
+        if (i < REQUESTS) {
             endpoint_limit_deny(e->limit, 2 * SECOND);
         }
     }
@@ -300,9 +310,10 @@
             g_array_append_val(report.asks, ask);
         }
     }
-    CU_ASSERT_EQUAL(report.asks->len, ASKS);
+    CU_ASSERT_EQUAL(report.asks->len, REQUESTS);
     GBytes *bytes = limit_report_write(&report);
-    CU_ASSERT(g_bytes_get_size(bytes) <= MESSAGE_BYTES + ASKS * ASK_BYTES);
+    CU_ASSERT(g_bytes_get_size(bytes) <=
+              MESSAGE_BYTES + REQUESTS * REQUEST_BYTES);
     g_bytes_unref(bytes);
     g_array_unref(report.asks);
     directory_destroy(d);
@@ -311,12 +322,12 @@
 static const test_case_t CASES[] = {
     {"memory for prompt parts is bounded", test_memory},
     {"loads are taken at the cost of the busy endpoints", test_load_visits},
-    {"leases come in bounded answers", test_start},
-    {"entry instances that come one by one", test_tellings},
+    {"leases come in bounded answers", test_initial_leases},
+    {"entry instances that come one by one", test_entry_count_changes},
     {"answers that are not read", test_answers_held},
     {"confirmations in time however many ask", test_confirmations},
     {"few endpoints: all parts are remembered", test_memory_of_few},
-    {"asks about limits", test_limit_asks},
+    {"asks about limits", test_limit_requests},
 };
 
 CHECK_MAIN("costs", CASES)
