--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -1,5 +1,5 @@
-/* The decisions of the routing gateway, without a socket or a clock: routes
- * and repeats; and the platform's formats. */
+/* Decisions of the routing gateway without a socket or a clock (routes and
+ * repeats), and the formats of the platform. */
 #include <math.h>
 #include <string.h>
 
@@ -31,7 +31,7 @@
 typedef struct {
     const char *name;
     const char *text;
-    const char *fault; /* NULL: it is sound */
+    const char *fault; /* text of the error; NULL: valid */
 } config_case_t;
 
 static const config_case_t CONFIG_CASES[] = {
@@ -103,9 +103,9 @@
 typedef struct {
     const char *name;
     const char *scale;
-    guint places;
-    guint least;
-    guint most;
+    guint data_centres;
+    guint min_engines;
+    guint max_engines;
     double reclaimable_price;
 } offer_case_t;
 
@@ -127,10 +127,10 @@
      9, 9, 0},
 };
 
-/* What engines may be ordered; what can not be used does not make the
- * configuration invalid. */
+/* Guards against a configuration that is refused for its offer of engines: an
+ * unusable offer is left out, and the configuration stays valid. */
 static void
-test_offers(void)
+test_engine_offers(void)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(OFFER_CASES); i++) {
         const offer_case_t *c = &OFFER_CASES[i];
@@ -145,13 +145,13 @@
             PLATFORM_OK);
         const engine_offer_t *offer =
             &route_config_service(config, "a")->offer;
-        guint places = offer->places != NULL ? offer->places->len : 0;
-        if (places != c->places || offer->most != c->most) {
-            printf("%s: %u places\n", c->name, places);
+        guint data_centres = offer->places != NULL ? offer->places->len : 0;
+        if (data_centres != c->data_centres || offer->most != c->max_engines) {
+            printf("%s: %u data centres\n", c->name, data_centres);
         }
-        CU_ASSERT_EQUAL(places, c->places);
-        CU_ASSERT_EQUAL(offer->least, c->least);
-        CU_ASSERT_EQUAL(offer->most, c->most);
+        CU_ASSERT_EQUAL(data_centres, c->data_centres);
+        CU_ASSERT_EQUAL(offer->least, c->min_engines);
+        CU_ASSERT_EQUAL(offer->most, c->max_engines);
         CU_ASSERT_EQUAL(offer->reclaimable_price, c->reclaimable_price);
         route_config_unref(config);
         g_free(text);
@@ -223,7 +223,7 @@
 typedef struct {
     const char *host;
     const char *target;
-    const char *route; /* NULL: none */
+    const char *route; /* NULL: no match */
 } match_case_t;
 
 static const match_case_t MATCH_CASES[] = {
@@ -277,7 +277,7 @@
 typedef struct {
     const char *name;
     const char *text;
-    const char *fault; /* NULL: sound */
+    const char *fault; /* text of the error; NULL: valid */
 } settings_case_t;
 
 static const settings_case_t SETTINGS_CASES[] = {
@@ -354,34 +354,35 @@
 /* ---- requests ---- */
 
 static int
-nothing_head(void *user)
+ignore_head(void *user)
 {
     (void)user;
     return 0;
 }
 
 static int
-nothing_body(void *user, str_t bytes)
+ignore_body(void *user, str_t bytes)
 {
     (void)user;
     (void)bytes;
     return 0;
 }
 
-static const reader_ops_t NOTHING = {.head = nothing_head,
-                                     .body = nothing_body};
+static const reader_ops_t IGNORE_OPS = {.head = ignore_head,
+                                        .body = ignore_body};
 
 static void
 read_head(http_reader_t *reader, const char *text)
 {
     gsize used;
-    http_reader_init(reader, TRUE, 4096, &NOTHING, NULL);
+    http_reader_init(reader, TRUE, 4096, &IGNORE_OPS, NULL);
     CU_ASSERT_EQUAL(http_reader_feed(reader, str_from_cstr(text), &used),
                     READER_OK);
     CU_ASSERT(reader->complete);
 }
 
-/* What a client may not set goes no further; what is its own does. */
+/* Guards against forged fields. Fields that a client may not set are not
+ * forwarded; its other fields are. */
 static void
 test_request_fields(void)
 {
@@ -414,7 +415,7 @@
     GString *bytes =
         platform_request_encode(&reader.head, STR("body"), &forward);
     CU_ASSERT(g_str_has_prefix(bytes->str, "POST /x/1?q=2 HTTP/1.1\r\n"));
-    static const char *const KEPT[] = {
+    static const char *const FORWARDED[] = {
         "\r\nRequest-Id: abc\r\n",
         "\r\nX-Own: 2\r\n",
         "\r\nModel: m\r\n",
@@ -429,8 +430,8 @@
         "secret",  "forged", "Hold",  "Pin-Ms",     "Kv-From", "Kv-Backup",
         "6.6.6.6", "other",  "X-Hop", "Connection", "900",
     };
-    for (gsize i = 0; i < G_N_ELEMENTS(KEPT); i++) {
-        CU_ASSERT_PTR_NOT_NULL(strstr(bytes->str, KEPT[i]));
+    for (gsize i = 0; i < G_N_ELEMENTS(FORWARDED); i++) {
+        CU_ASSERT_PTR_NOT_NULL(strstr(bytes->str, FORWARDED[i]));
     }
     for (gsize i = 0; i < G_N_ELEMENTS(DROPPED); i++) {
         CU_ASSERT_PTR_NULL(strstr(bytes->str, DROPPED[i]));
@@ -447,7 +448,7 @@
 } events_t;
 
 static void
-take_event(str_t bytes, guint64 id, void *user)
+record_event(str_t bytes, guint64 id, void *user)
 {
     events_t *events = user;
     events->bytes += bytes.length;
@@ -469,7 +470,7 @@
         for (gsize at = 0; at < sizeof(TEXT) - 1; at += step) {
             str_t piece = {.data = TEXT + at,
                            .length = MIN(step, sizeof(TEXT) - 1 - at)};
-            event_stream_feed(&stream, piece, take_event, &events);
+            event_stream_feed(&stream, piece, record_event, &events);
         }
         CU_ASSERT_STRING_EQUAL(events.ids->str, "1 22 3 -1 ");
         CU_ASSERT_EQUAL(events.bytes, sizeof(TEXT) - 1 - strlen("id: 4\nda"));
@@ -479,7 +480,7 @@
     }
 }
 
-/* ---- limits that answers name ---- */
+/* ---- limits in answers ---- */
 
 typedef struct {
     const char *fields;
@@ -518,7 +519,7 @@
         gsize used;
         char *text = g_strdup_printf(
             "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n%s\r\n", c->fields);
-        http_reader_init(&reader, FALSE, 4096, &NOTHING, NULL);
+        http_reader_init(&reader, FALSE, 4096, &IGNORE_OPS, NULL);
         http_reader_feed(&reader, str_from_cstr(text), &used);
         platform_answer_decode(&reader.head, &answer);
         if (answer.limit_field != c->field) {
@@ -535,49 +536,51 @@
 
 /* ---- repeats ---- */
 
-/* Any window of the bound's length, over all instances, keeps the bound. */
+/* Guards against too many repeats: in any window of the budget's length, the
+ * repeats of all instances together stay within the budget. */
 static void
 test_repeat_budget(void)
 {
     enum { INSTANCES = 9, STEPS = 6000, STEP = 10000, WINDOW = 1000 };
     static const repeat_limits_t LIMITS = {
         .window_us = (gint64)WINDOW * STEP, .ratio = 0.2, .slack = 58};
-    static guint firsts[STEPS];
+    static guint first_counts[STEPS];
     static guint repeats[STEPS];
     repeat_budget_t budgets[INSTANCES] = {0};
     GRand *random = g_rand_new_with_seed(3);
     for (int t = 0; t < STEPS; t++) {
-        /* A burst, a lull, and a burst at few instances. */
-        int busy = t < 2000 ? INSTANCES : t < 3000 ? 1 : 3;
-        firsts[t] = repeats[t] = 0;
-        for (int i = 0; i < busy; i++) {
+        /* A burst, a lull, and a burst at a few instances. */
+        int active = t < 2000 ? INSTANCES : t < 3000 ? 1 : 3;
+        first_counts[t] = repeats[t] = 0;
+        for (int i = 0; i < active; i++) {
             gint64 now = (gint64)t * STEP;
             if (g_rand_int_range(random, 0, 3) == 0) {
                 repeat_budget_note_first(&budgets[i], &LIMITS, now);
-                firsts[t]++;
+                first_counts[t]++;
             }
             repeats[t] +=
                 repeat_budget_take(&budgets[i], &LIMITS, INSTANCES, now);
         }
     }
     for (int from = 0; from + WINDOW <= STEPS; from += 50) {
-        guint asked = 0;
-        guint again = 0;
+        guint first_sends = 0;
+        guint repeated = 0;
         for (int t = from; t < from + WINDOW; t++) {
-            asked += firsts[t];
-            again += repeats[t];
+            first_sends += first_counts[t];
+            repeated += repeats[t];
         }
-        CU_ASSERT(again <= LIMITS.ratio * asked + LIMITS.slack);
+        CU_ASSERT(repeated <= LIMITS.ratio * first_sends + LIMITS.slack);
     }
     CU_ASSERT(repeats[0] + repeats[1] + repeats[2] > 0);
     g_rand_free(random);
 }
 
-/* ---- differences of configurations ---- */
+/* ---- deltas of configurations ---- */
 
-/* A configuration of so many routes; `odd` changes one in the middle. */
+/* Returns a configuration with this many routes; `changed` alters one in the
+ * middle. */
 static char *
-text_of(guint version, guint routes, gboolean odd)
+config_text(guint version, guint routes, gboolean changed)
 {
     GString *text = g_string_new(NULL);
     GRand *random = g_rand_new_with_seed(11);
@@ -589,7 +592,7 @@
             "\"/%08x/\",\"Kind\":\"safe\",\"TimeoutMs\":%d,\"Service\":"
             "\"a\"}",
             i > 0 ? "," : "", g_rand_int(random), g_rand_int(random),
-            odd && i == routes / 2 ? 7 : 1000);
+            changed && i == routes / 2 ? 7 : 1000);
     }
     g_string_append(text, "],\"Services\":[{\"Name\":\"a\"}]}");
     g_rand_free(random);
@@ -600,8 +603,8 @@
     const char *name;
     guint routes_before;
     guint routes_after;
-    gboolean odd;
-    gsize most; /* bytes of the difference */
+    gboolean changed;
+    gsize max_bytes; /* of the delta */
 } delta_case_t;
 
 static const delta_case_t DELTA_CASES[] = {
@@ -618,22 +621,22 @@
     for (gsize i = 0; i < G_N_ELEMENTS(DELTA_CASES); i++) {
         const delta_case_t *c = &DELTA_CASES[i];
         char *before = c->routes_before > 0
-                           ? text_of(7, c->routes_before, FALSE)
+                           ? config_text(7, c->routes_before, FALSE)
                            : g_strdup("");
-        char *after = text_of(9, c->routes_after, c->odd);
+        char *after = config_text(9, c->routes_after, c->changed);
         GBytes *delta =
             text_delta_between(str_from_cstr(before), str_from_cstr(after));
-        if (g_bytes_get_size(delta) > c->most) {
+        if (g_bytes_get_size(delta) > c->max_bytes) {
             printf("%s: %zu bytes\n", c->name, g_bytes_get_size(delta));
         }
-        CU_ASSERT(g_bytes_get_size(delta) <= c->most);
+        CU_ASSERT(g_bytes_get_size(delta) <= c->max_bytes);
         GBytes *text = text_delta_apply(str_from_cstr(before), delta);
         CU_ASSERT_PTR_NOT_NULL_FATAL(text);
         gsize length;
         const char *data = g_bytes_get_data(text, &length);
         CU_ASSERT(str_equal((str_t){.data = data, .length = length},
                             str_from_cstr(after)));
-        /* Of another text, or cut short, it is refused. */
+        /* A delta of another text, or a truncated one, is refused. */
         CU_ASSERT(c->routes_before == 0 ||
                   text_delta_apply(STR("other"), delta) == NULL);
         GBytes *cut =
@@ -647,7 +650,7 @@
     }
 }
 
-/* ---- what instances tell each other ---- */
+/* ---- messages between instances ---- */
 
 static void
 test_sync_request(void)
@@ -715,7 +718,8 @@
     CU_ASSERT_EQUAL(read.entries, 8);
     CU_ASSERT_STRING_EQUAL(read.data_centre, "dc-2");
     sync_answer_clear(&read);
-    /* Cut or changed bytes are refused or read to some answer, no more. */
+    /* Truncated or changed bytes are refused or read as some answer, without
+     * any other effect. */
     gsize length;
     const char *data = g_bytes_get_data(bytes, &length);
     GRand *random = g_rand_new_with_seed(5);
@@ -737,7 +741,7 @@
     g_ptr_array_unref(answer.controls);
 }
 
-/* Few leases go as they are, many packed. */
+/* A few leases are written unpacked, many are packed. */
 static void
 test_sync_wire(void)
 {
@@ -745,9 +749,10 @@
     check_sync_wire(40);
 }
 
-/* A control instance that has just started tells that few instances ask. The
- * bound holds all the same, and once the count stays low it is divided by it.
- */
+/* Guards against an exceeded budget after a wrong count of instances. A
+ * control instance that has just started reports too few entry instances. Each
+ * instance divides the budget by the highest recent count, and by the low
+ * count only once it lasts. */
 static void
 test_repeat_budget_miscounted(void)
 {
@@ -756,24 +761,24 @@
         .window_us = (gint64)SECONDS * SECOND, .ratio = 0, .slack = 58};
     repeat_budget_t budgets[INSTANCES] = {0};
     instance_count_t counts[INSTANCES] = {0};
-    guint taken = 0;
+    guint allowed = 0;
     for (guint i = 0; i < INSTANCES; i++) {
         instance_count_note(&counts[i], INSTANCES, 1 * SECOND);
         instance_count_note(&counts[i], 1, 2 * SECOND);
         for (guint k = 0; k < 100; k++) {
-            taken +=
+            allowed +=
                 repeat_budget_take(&budgets[i], &LIMITS,
                                    instance_count_get(&counts[i]), 3 * SECOND);
         }
     }
-    CU_ASSERT(taken > 0 && taken <= LIMITS.slack);
+    CU_ASSERT(allowed > 0 && allowed <= LIMITS.slack);
 }
 
 static const test_case_t CASES[] = {
     {"faults of a configuration are named", test_config_faults},
     {"the longest prefix of the host matches", test_match},
     {"shares and kinds", test_shares_and_kinds},
-    {"engines that may be ordered", test_offers},
+    {"engines that may be ordered", test_engine_offers},
     {"calls to the platform", test_duty_calls},
     {"faults of settings are named", test_settings},
     {"the sample settings have none", test_sample_settings},
