--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -123,7 +123,7 @@
     if (text == NULL) {
         return FALSE;
     }
-    gboolean sound = entry_take_config(e, answer->version, text);
+    gboolean sound = entry_apply_config(e, answer->version, text);
     g_bytes_unref(text);
     return sound;
 }
@@ -205,7 +205,7 @@
     entry_t *e = link->entry;
     timers_cancel(e->timers, link->timer);
     inner_line_destroy(link->line);
-    crash_link_forget(e->crash_link, link->address);
+    crash_link_remove_control(e->crash_link, link->address);
     directory_source_reset(e->directory, link->source, entry_now(e));
     g_free(link->address);
     g_free(link->data_centre);
@@ -231,8 +231,8 @@
 note_version(entry_t *e, guint64 version)
 {
     guint64 here = e->config != NULL ? e->config->version : 0;
-    if (version > here && e->behind_us == 0) {
-        e->behind_us = entry_now(e);
+    if (version > here && e->newer_config_since_us == 0) {
+        e->newer_config_since_us = entry_now(e);
     }
 }
 
@@ -264,11 +264,11 @@
     link->more = answer->more;
     link->held_cursor = answer->held_cursor;
     link->limit_cursor = answer->limit_cursor;
-    crash_link_control(e->crash_link, link->address, answer->epoch);
-    crash_link_take_orders(e->crash_link, answer->held, link->address);
-    limit_link_take(e->limit_link, answer->limits, link->address);
+    crash_link_update_control(e->crash_link, link->address, answer->epoch);
+    crash_link_apply_orders(e->crash_link, answer->held, link->address);
+    limit_link_apply_limits(e->limit_link, answer->limits, link->address);
     if (answer->confirmed) {
-        limit_link_take_owners(e->limit_link, answer->controls);
+        limit_link_set_owners(e->limit_link, answer->controls);
     }
     link->leads = answer->confirmed;
     g_free(link->data_centre);
@@ -277,10 +277,10 @@
     gboolean sound = take_config(link, answer);
     if (sound && answer->confirmed && e->config != NULL &&
         e->config->version >= answer->version) {
-        entry_take_confirmation(e, written_us(link));
+        entry_record_confirmation(e, written_us(link));
     }
     e->entries = MAX(answer->entries, 1);
-    instance_count_record(&e->sharers, e->entries, now);
+    instance_count_record(&e->sharing_instances, e->entries, now);
     for (guint i = 0; i < answer->controls->len; i++) {
         link_add(e, answer->controls->pdata[i]);
     }
@@ -338,7 +338,8 @@
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
-    gboolean late = e->behind_us != 0 && now - e->behind_us > DELIVERY_US;
+    gboolean late = e->newer_config_since_us != 0 &&
+                    now - e->newer_config_since_us > DELIVERY_US;
     if (any_leads(e) && !late) {
         return link->leads;
     }
@@ -390,7 +391,7 @@
 /* ---- all links ---- */
 
 void
-control_links_seed(entry_t *e)
+control_links_add_seeds(entry_t *e)
 {
     for (int i = 0; e->settings->seeds[i] != NULL; i++) {
         const char *seed = e->settings->seeds[i];
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -254,7 +254,7 @@
 }
 
 void
-crash_link_ended(crash_link_t *link, const endpoint_end_t *end)
+crash_link_report_end(crash_link_t *link, const endpoint_end_t *end)
 {
     crash_note_t *note = note_add(link);
     endpoint_end_init(&note->end, end->endpoint, end->started_ms);
@@ -268,14 +268,15 @@
 }
 
 void
-crash_link_answered(crash_link_t *link, guint64 fingerprint)
+crash_link_report_answered(crash_link_t *link, guint64 fingerprint)
 {
     note_add(link)->answered = fingerprint;
     wake_all(link);
 }
 
 void
-crash_link_control(crash_link_t *link, const char *address, guint64 epoch)
+crash_link_update_control(crash_link_t *link, const char *address,
+                          guint64 epoch)
 {
     crash_sender_t *s = g_hash_table_lookup(link->senders, address);
     if (s == NULL) {
@@ -291,7 +292,7 @@
 }
 
 void
-crash_link_forget(crash_link_t *link, const char *address)
+crash_link_remove_control(crash_link_t *link, const char *address)
 {
     g_hash_table_remove(link->senders, address);
 }
@@ -317,8 +318,8 @@
 /* ---- what is ordered ---- */
 
 void
-crash_link_take_orders(crash_link_t *link, const GArray *orders,
-                       const char *control)
+crash_link_apply_orders(crash_link_t *link, const GArray *orders,
+                        const char *control)
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
@@ -331,7 +332,7 @@
         }
         if (order->left_us > 0 &&
             run_history_is_answered(&e->history, order->fingerprint, now)) {
-            crash_link_answered(link, order->fingerprint);
+            crash_link_report_answered(link, order->fingerprint);
         }
     }
     counter_set(counter_get("requests_held", NULL, TRUE),
--- a/carobloomd/gateway/endpoints_page.c
+++ b/carobloomd/gateway/endpoints_page.c
@@ -24,7 +24,7 @@
         "{s:b,s:f,s:I,s:I,s:I,s:I,s:I,s:s,s:b}", "in_force", l->limited,
         "requests_a_second", l->rate, "granted", (json_int_t)l->tokens, "sent",
         (json_int_t)l->sends, "kept_away", (json_int_t)l->denied, "instances",
-        (json_int_t)instance_count_get(&e->sharers), "told_ms_ago",
+        (json_int_t)instance_count_get(&e->sharing_instances), "told_ms_ago",
         age_ms(MAX(l->rate_received_us, l->owner_rate_us)), "owner",
         owner != NULL ? owner : "", "owner_answers",
         l->ownerless_send_us == 0);
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -13,8 +13,8 @@
     SWEEP_US = 500 * MS,
     /* Descriptors that are not callers' connections: listeners, control,
      * files; endpoints' take half of the rest. */
-    DESCRIPTORS_KEPT = 300,
-    PROBE_CONNECTIONS = 64,
+    DESCRIPTORS_RESERVED = 300,
+    PROBE_CONNECTIONS_MAX = 64,
     /* The balancer probes each second and gives up after two misses; until
      * then new connections come. */
     DRAIN_NOTICE_US = 2600 * MS,
@@ -22,17 +22,17 @@
     DRAIN_MARGIN_US = 300 * MS,
     /* After a start, for the endpoints to be told by more than one control
      * instance. */
-    START_US = 300 * MS,
+    READY_DELAY_US = 300 * MS,
     /* Loads of others that are older say nothing of now. */
-    LOADS_US = 2000 * MS,
+    LOADS_AGE_MAX_US = 2000 * MS,
 };
 
 /* Of the bound for a withdrawn key: then keyed requests are refused. */
-static const double CONFIRMED_PART = 0.8;
+static const double CONFIRMED_FRACTION = 0.8;
 /* And then the balancer is told to send callers elsewhere. */
-static const double READY_PART = 0.5;
+static const double READY_FRACTION = 0.5;
 /* Of the memory, for bodies of requests on their way. */
-static const double BODIES_PART = 0.25;
+static const double BODIES_FRACTION = 0.25;
 
 gint64
 entry_now(const entry_t *e)
@@ -43,12 +43,12 @@
 /* ---- the configuration ---- */
 
 static gboolean
-confirmed_within(const entry_t *e, double part)
+confirmed_within(const entry_t *e, double fraction)
 {
     if (e->config == NULL || e->confirmed_us == 0) {
         return FALSE;
     }
-    double bound_us = e->settings->revoke_ms * MS * part;
+    double bound_us = e->settings->revoke_ms * MS * fraction;
     return bound_us == 0 ||
            (double)(clock_boot_us() - e->confirmed_us) < bound_us;
 }
@@ -56,7 +56,7 @@
 gboolean
 entry_is_confirmed(const entry_t *e)
 {
-    return confirmed_within(e, CONFIRMED_PART);
+    return confirmed_within(e, CONFIRMED_FRACTION);
 }
 
 gint64
@@ -67,41 +67,42 @@
 }
 
 void
-entry_take_confirmation(entry_t *e, gint64 asked_us)
+entry_record_confirmation(entry_t *e, gint64 requested_us)
 {
-    e->confirmed_us = MAX(e->confirmed_us, asked_us);
+    e->confirmed_us = MAX(e->confirmed_us, requested_us);
 }
 
 gsize
-entry_memory(const entry_t *e)
+entry_memory_bytes(const entry_t *e)
 {
     return (gsize)(e->settings->memory_mb * 1048576);
 }
 
 gsize
-entry_answers_held(const entry_t *e)
+entry_answer_bytes(const entry_t *e)
 {
-    return http_server_unread(e->callers) + e->gathered;
+    return http_server_unread(e->callers) + e->buffered_bytes;
 }
 
 static http_limits_t
 caller_limits(const entry_t *e)
 {
     const client_limits_t *l = e->config != NULL ? &e->config->limits : NULL;
-    double descriptors = e->settings->descriptors - DESCRIPTORS_KEPT;
+    double descriptors = e->settings->descriptors - DESCRIPTORS_RESERVED;
     http_limits_t limits = {
         .head_max = l != NULL ? (gsize)l->head_bytes : 16384,
         .body_max = l != NULL ? (gsize)l->body_bytes : 4194304,
         .head_us = (l != NULL ? l->head_ms : 3000) * MS,
         .idle_us = (l != NULL ? l->idle_ms : 15000) * MS,
         .connections = (guint)MAX(descriptors / 2, 32),
-        .buffered_max = (gsize)((double)entry_memory(e) * BODIES_PART),
+        .buffered_max =
+            (gsize)((double)entry_memory_bytes(e) * BODIES_FRACTION),
     };
     return limits;
 }
 
 gboolean
-entry_take_config(entry_t *e, guint64 version, GBytes *text)
+entry_apply_config(entry_t *e, guint64 version, GBytes *text)
 {
     char *fault = NULL;
     route_config_t *config;
@@ -119,7 +120,7 @@
     g_clear_pointer(&e->text, g_bytes_unref);
     e->config = config;
     e->text = g_bytes_ref(text);
-    e->behind_us = 0;
+    e->newer_config_since_us = 0;
     http_limits_t limits = caller_limits(e);
     http_server_set_limits(e->callers, &limits);
     counter_set(counter_get("config_version", NULL, TRUE), (gint64)version);
@@ -131,16 +132,16 @@
     return TRUE;
 }
 
-service_use_t *
-entry_service(entry_t *e, const char *service)
+service_state_t *
+entry_service_state(entry_t *e, const char *service)
 {
-    service_use_t *use = g_hash_table_lookup(e->services, service);
-    if (use == NULL) {
-        use = g_new0(service_use_t, 1);
-        engine_model_init(&use->engine);
-        g_hash_table_insert(e->services, g_strdup(service), use);
+    service_state_t *state = g_hash_table_lookup(e->services, service);
+    if (state == NULL) {
+        state = g_new0(service_state_t, 1);
+        engine_model_init(&state->engine);
+        g_hash_table_insert(e->services, g_strdup(service), state);
     }
-    return use;
+    return state;
 }
 
 repeat_limits_t
@@ -176,32 +177,33 @@
 }
 
 void
-entry_take_loads(entry_t *e)
+entry_apply_loads(entry_t *e)
 {
     GHashTableIter iter;
     gpointer service;
     gpointer value;
-    e->loads_us = entry_now(e);
+    e->loads_received_us = entry_now(e);
     g_hash_table_iter_init(&iter, e->services);
     while (g_hash_table_iter_next(&iter, &service, &value)) {
-        service_use_t *use = value;
+        service_state_t *state = value;
         split_demand_t demand =
-            directory_demand(e->directory, service, e->loads_us);
-        demand.tokens_per_ms = engine_model_tokens_per_ms(&use->engine);
-        prompt_mix_fill_demand(&use->prompts, e->entries, e->loads_us,
-                               &demand);
-        double before = engine_split_long_fraction(&use->split);
-        engine_split_update(&use->split, &demand, e->loads_us);
-        if (engine_split_long_fraction(&use->split) != before) {
-            log_split(service, &use->split, &demand);
+            directory_demand(e->directory, service, e->loads_received_us);
+        demand.tokens_per_ms = engine_model_tokens_per_ms(&state->engine);
+        prompt_mix_fill_demand(&state->prompts, e->entries,
+                               e->loads_received_us, &demand);
+        double before = engine_split_long_fraction(&state->split);
+        engine_split_update(&state->split, &demand, e->loads_received_us);
+        if (engine_split_long_fraction(&state->split) != before) {
+            log_split(service, &state->split, &demand);
         }
     }
 }
 
 gboolean
-entry_knows_loads(const entry_t *e)
+entry_has_recent_loads(const entry_t *e)
 {
-    return e->loads_us != 0 && entry_now(e) - e->loads_us < LOADS_US;
+    return e->loads_received_us != 0 &&
+           entry_now(e) - e->loads_received_us < LOADS_AGE_MAX_US;
 }
 
 /* ---- readiness ---- */
@@ -209,9 +211,9 @@
 static gboolean
 is_ready(const entry_t *e)
 {
-    return e->drain_us == 0 && confirmed_within(e, READY_PART) &&
+    return e->drain_us == 0 && confirmed_within(e, READY_FRACTION) &&
            directory_count(e->directory) > 0 &&
-           entry_now(e) - e->started_us > START_US;
+           entry_now(e) - e->started_us > READY_DELAY_US;
 }
 
 static void
@@ -226,7 +228,7 @@
 }
 
 static void
-handle_nothing(http_exchange_t *exchange, void *user)
+ignore_event(http_exchange_t *exchange, void *user)
 {
     (void)exchange;
     (void)user;
@@ -252,22 +254,21 @@
     forward_drained(exchange);
 }
 
-static const http_server_ops_t PROBE_OPS = {.request = handle_probe,
-                                            .gone = handle_nothing,
-                                            .drained = handle_nothing};
+static const http_server_ops_t PROBE_OPS = {
+    .request = handle_probe, .gone = ignore_event, .drained = ignore_event};
 static const http_server_ops_t CALLER_OPS = {
     .request = handle_request, .gone = handle_gone, .drained = handle_drained};
 
 /* ---- life ---- */
 
 static void
-handle_ended(void *user, const endpoint_end_t *end)
+handle_endpoint_end(void *user, const endpoint_end_t *end)
 {
-    crash_link_ended(((entry_t *)user)->crash_link, end);
+    crash_link_report_end(((entry_t *)user)->crash_link, end);
 }
 
 static void
-drop_connections(void *connections)
+destroy_connections(void *connections)
 {
     http_peer_destroy(connections);
 }
@@ -282,9 +283,10 @@
                 quarantine_count(e->quarantine));
     counter_set(counter_get("endpoints", NULL, TRUE),
                 directory_count(e->directory));
-    counter_set(counter_get("requests_in_flight", NULL, TRUE), e->forwards);
+    counter_set(counter_get("requests_in_flight", NULL, TRUE),
+                e->requests_in_flight);
     counter_set(counter_get("answer_bytes_held", NULL, TRUE),
-                (gint64)entry_answers_held(e));
+                (gint64)entry_answer_bytes(e));
     counter_set(counter_get("connections", NULL, TRUE),
                 http_server_connections(e->callers));
     event_log_flush();
@@ -296,7 +298,7 @@
     const gateway_settings_t *s = e->settings;
     http_limits_t limits = caller_limits(e);
     http_limits_t probe = limits;
-    probe.connections = PROBE_CONNECTIONS;
+    probe.connections = PROBE_CONNECTIONS_MAX;
     e->callers = http_server_create(e->poller, e->timers, s->callers, &limits,
                                     &CALLER_OPS, e);
     e->probe = http_server_create(e->poller, e->timers, s->probe, &probe,
@@ -322,7 +324,7 @@
     e->timers = task_timers(task);
     e->random = g_rand_new();
     e->traffic = traffic_create(settings->data_centre);
-    e->directory = directory_create(drop_connections);
+    e->directory = directory_create(destroy_connections);
     e->services =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     e->links = g_ptr_array_new();
@@ -331,7 +333,7 @@
     crash_watch_setup_t watch = {.poller = e->poller,
                                  .timers = e->timers,
                                  .directory = e->directory,
-                                 .ended = handle_ended,
+                                 .ended = handle_endpoint_end,
                                  .user = e};
     e->crashes = crash_watch_create(&watch);
     e->crash_link = crash_link_create(e);
@@ -342,7 +344,7 @@
         return NULL;
     }
     timers_subscribe(e->timers, SWEEP_US, SWEEP_US, on_sweep, e);
-    control_links_seed(e);
+    control_links_add_seeds(e);
     e->load_link = load_link_create(e);
     e->usage_link = usage_link_create(e);
     return e;
@@ -373,7 +375,7 @@
 entry_reload(entry_t *e, const gateway_settings_t *settings)
 {
     e->settings = settings;
-    control_links_seed(e);
+    control_links_add_seeds(e);
 }
 
 void
@@ -390,11 +392,11 @@
         return FALSE;
     }
     gint64 since = entry_now(e) - e->drain_us;
-    gint64 most = (gint64)(e->settings->grace_s * G_USEC_PER_SEC);
-    if (since > most - DRAIN_MARGIN_US) {
+    gint64 grace_us = (gint64)(e->settings->grace_s * G_USEC_PER_SEC);
+    if (since > grace_us - DRAIN_MARGIN_US) {
         return TRUE;
     }
-    if (since < MIN(DRAIN_NOTICE_US, most / 2)) {
+    if (since < MIN(DRAIN_NOTICE_US, grace_us / 2)) {
         return FALSE;
     }
     e->refusing = TRUE;
@@ -411,14 +413,14 @@
     gpointer value;
     g_hash_table_iter_init(&iter, e->services);
     while (g_hash_table_iter_next(&iter, &service, &value)) {
-        const service_use_t *use = value;
+        const service_state_t *state = value;
         g_string_append_printf(
             text,
             "service %s: %.0f tokens read a ms, first event of none after"
             " %.0f ms, %.2f of the engines for long prompts\n",
-            (const char *)service, engine_model_tokens_per_ms(&use->engine),
-            engine_model_first_ms(&use->engine, 0),
-            engine_split_long_fraction(&use->split));
+            (const char *)service, engine_model_tokens_per_ms(&state->engine),
+            engine_model_first_ms(&state->engine, 0),
+            engine_split_long_fraction(&state->split));
     }
 }
 
@@ -432,7 +434,7 @@
         "requests %u, connections %u, endpoints %u, entries %u\n"
         "requests held back %u\n",
         e->config ? (unsigned long)e->config->version : 0,
-        (long)entry_config_age_ms(e), is_ready(e), e->forwards,
+        (long)entry_config_age_ms(e), is_ready(e), e->requests_in_flight,
         http_server_connections(e->callers), directory_count(e->directory),
         e->entries, quarantine_count(e->quarantine));
     dump_services(e, text);
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -10,30 +10,30 @@
     STATUS_MAX = 999, /* of HTTP */
     /* A silent endpoint is left, where the request may repeat, after this
      * many objectives, or this long within a stream. */
-    PATIENCE_TARGETS = 3,
-    PATIENCE_LEAST_US = 250 * MS,
+    SILENCE_TARGETS = 3,
+    SILENCE_MIN_US = 250 * MS,
     STREAM_SILENCE_US = 1500 * MS,
     /* Over which held requests come back once they may: each is a trial. */
-    AFTER_HELD_SPREAD_MS = 10000,
-    AFTER_LIMITS_SPREAD_MS = 50,
+    QUARANTINED_SPREAD_MS = 10000,
+    LIMITED_SPREAD_MS = 50,
 };
 
 /* When a refused caller should come back: spread, so that callers do not
  * return together. */
 typedef struct {
-    gint least_ms;
+    gint min_ms;
     gint spread_ms;
 } retry_after_t;
 
 /* A place comes free within a request's work, some 15 ms at a plain server
  * and a second at an engine whose places long prompts hold. */
-static const retry_after_t AFTER_SHORT = {150, 350};
-static const retry_after_t AFTER_LONG = {600, 800};
+static const retry_after_t AFTER_SHORT_PROMPT = {150, 350};
+static const retry_after_t AFTER_LONG_PROMPT = {600, 800};
 /* One that may be held by mistake is tried within seconds. */
-static const retry_after_t AFTER_DOUBT = {1000, 2000};
+static const retry_after_t AFTER_UNCERTAIN = {1000, 2000};
 /* An instance that has just started, or is cut off, has its configuration
  * confirmed once a leader is elected: within about two seconds. */
-static const retry_after_t AFTER_START = {1200, 800};
+static const retry_after_t AFTER_UNCONFIRMED = {1200, 800};
 
 gint64
 forward_now(const forward_t *f)
@@ -46,8 +46,8 @@
 static void
 log_outcome(forward_t *f, guint status, const char *reason)
 {
-    gboolean well = status < 400;
-    if (!event_log_begin(well ? EVENT_ROUTINE : EVENT_FAILURE, "request")) {
+    gboolean success = status < 400;
+    if (!event_log_begin(success ? EVENT_ROUTINE : EVENT_FAILURE, "request")) {
         return;
     }
     event_log_text("request", f->info.id);
@@ -61,36 +61,38 @@
                      f->config ? (gint64)f->config->version : 0);
     event_log_number("config_age_ms", entry_config_age_ms(f->entry));
     event_log_number("loads_age_ms",
-                     (forward_now(f) - f->entry->loads_us) / MS);
+                     (forward_now(f) - f->entry->loads_received_us) / MS);
     event_log_number("sends", f->sends);
     event_log_number("runs", f->runs);
     event_log_number("refusals", f->refusals);
     event_log_number("elapsed_ms", (forward_now(f) - f->started_us) / MS);
-    if (!well && f->route != NULL) {
+    if (!success && f->route != NULL) {
         forward_log_fingerprint(f);
     }
-    if (f->held != NULL) {
+    if (f->quarantined != NULL) {
         gint64 now = forward_now(f);
-        event_log_cstr("endpoints_ended", f->held->endpoints);
-        event_log_number("held_since_ms", (now - f->held->since_us) / MS);
-        event_log_number("held_for_ms", (f->held->until_us - now) / MS);
-    }
-    if (f->placed.known > 0) {
-        event_log_number("endpoints", f->placed.known);
-        event_log_number("unusable", f->placed.unusable);
-        event_log_number("tried", f->placed.tried);
-        event_log_number("full", f->placed.full);
-        event_log_number("limited", f->placed.limited);
-        event_log_number("no_place", f->placed.no_slot);
+        event_log_cstr("endpoints_ended", f->quarantined->endpoints);
+        event_log_number("held_since_ms",
+                         (now - f->quarantined->since_us) / MS);
+        event_log_number("held_for_ms", (f->quarantined->until_us - now) / MS);
+    }
+    if (f->placement_counts.known > 0) {
+        event_log_number("endpoints", f->placement_counts.known);
+        event_log_number("unusable", f->placement_counts.unusable);
+        event_log_number("tried", f->placement_counts.tried);
+        event_log_number("full", f->placement_counts.full);
+        event_log_number("limited", f->placement_counts.limited);
+        event_log_number("no_place", f->placement_counts.no_slot);
         event_log_number("prompt_tokens", f->info.prompt_tokens);
     }
-    if (f->first_us != 0) {
-        event_log_number("first_ms", (f->first_us - f->started_us) / MS);
-        event_log_number("longest_pause_ms", f->longest_us / MS);
+    if (f->first_output_us != 0) {
+        event_log_number("first_ms",
+                         (f->first_output_us - f->started_us) / MS);
+        event_log_number("longest_pause_ms", f->longest_pause_us / MS);
     }
     if (f->sends > 0) {
-        event_log_number("found_running", f->found_running);
-        event_log_number("found_waiting", f->found_waiting);
+        event_log_number("found_running", f->running_at_send);
+        event_log_number("found_waiting", f->waiting_tokens_at_send);
     }
     event_log_end();
 }
@@ -119,14 +121,15 @@
         whole = histogram_get("request_seconds", NULL);
     }
     counter_add(outcome_counter(status), 1);
-    if (f->first_us != 0) {
-        histogram_add(first_byte, (double)(f->first_us - f->started_us) / 1e6);
+    if (f->first_output_us != 0) {
+        histogram_add(first_byte,
+                      (double)(f->first_output_us - f->started_us) / 1e6);
     }
     histogram_add(whole, (double)(forward_now(f) - f->started_us) / 1e6);
 }
 
 void
-forward_end_wait(forward_t *f)
+forward_end_prefill(forward_t *f)
 {
     endpoint_end_prefill(f->endpoint, f->info.prompt_tokens,
                          f->waiting_tokens);
@@ -134,36 +137,37 @@
 }
 
 void
-forward_leave_endpoint(forward_t *f)
+forward_detach_endpoint(forward_t *f)
 {
     if (f->endpoint == NULL) {
         return;
     }
     directory_remove_request(f->entry->directory, f->endpoint,
                              f->info.prompt_tokens);
-    forward_end_wait(f);
+    forward_end_prefill(f);
     f->call = NULL;
     f->endpoint = NULL;
 }
 
 void
-forward_note_begun(forward_t *f)
+forward_count_run(forward_t *f)
 {
-    if (!f->counted) {
-        f->counted = TRUE;
+    if (!f->run_counted) {
+        f->run_counted = TRUE;
         usage_link_count(f->entry->usage_link,
                          f->team != NULL ? f->team->name : NULL);
     }
 }
 
 void
-forward_note_lost(forward_t *f)
+forward_count_interrupted_run(forward_t *f)
 {
     double waited_ms = (double)(forward_now(f) - f->sent_us) / MS;
-    double tokens = (double)f->found_waiting + f->waiting_tokens;
+    double tokens = (double)f->waiting_tokens_at_send + f->waiting_tokens;
     if (f->info.prompt_tokens == 0 ||
-        waited_ms >= engine_model_first_ms(&f->use->engine, tokens)) {
-        forward_note_begun(f);
+        waited_ms >=
+            engine_model_first_ms(&f->service_state->engine, tokens)) {
+        forward_count_run(f);
     }
 }
 
@@ -175,12 +179,12 @@
     if (f->call != NULL) {
         client_call_cancel(f->call);
     }
-    forward_leave_endpoint(f);
-    e->forwards--;
+    forward_detach_endpoint(f);
+    e->requests_in_flight--;
     if (f->fields != NULL) {
         g_string_free(f->fields, TRUE);
     }
-    f->entry->gathered -= f->body->len;
+    f->entry->buffered_bytes -= f->body->len;
     g_byte_array_unref(f->body);
     event_stream_clear(&f->events);
     g_clear_pointer(&f->config, route_config_unref);
@@ -188,38 +192,38 @@
 }
 
 static retry_after_t
-after_limits(const forward_t *f)
+limited_retry_after(const forward_t *f)
 {
     double rate = limit_link_rate(f->entry->limit_link, f->service);
-    gint ms = limit_retry_ms(&f->use->limit_retry, rate,
+    gint ms = limit_retry_ms(&f->service_state->limit_retry, rate,
                              g_rand_double(f->entry->random), forward_now(f));
-    return (retry_after_t){.least_ms = ms,
-                           .spread_ms = AFTER_LIMITS_SPREAD_MS};
+    return (retry_after_t){.min_ms = ms, .spread_ms = LIMITED_SPREAD_MS};
 }
 
 static retry_after_t
 retry_after_of(const forward_t *f)
 {
-    if (f->held != NULL && f->held->uncertain) {
-        return AFTER_DOUBT;
+    if (f->quarantined != NULL && f->quarantined->uncertain) {
+        return AFTER_UNCERTAIN;
     }
-    if (f->held != NULL) { /* sooner it would only be refused again */
-        gint64 left_us = f->held->until_us - forward_now(f);
-        return (retry_after_t){.least_ms = (gint)(left_us / MS),
-                               .spread_ms = AFTER_HELD_SPREAD_MS};
+    if (f->quarantined != NULL) { /* sooner it would only be refused again */
+        gint64 left_us = f->quarantined->until_us - forward_now(f);
+        return (retry_after_t){.min_ms = (gint)(left_us / MS),
+                               .spread_ms = QUARANTINED_SPREAD_MS};
     }
     if (!entry_is_confirmed(f->entry)) {
-        return AFTER_START;
+        return AFTER_UNCONFIRMED;
     }
-    if (placement_is_limited(&f->placed)) {
-        return after_limits(f);
+    if (placement_is_limited(&f->placement_counts)) {
+        return limited_retry_after(f);
     }
-    return prompt_is_long(f->info.prompt_tokens) ? AFTER_LONG : AFTER_SHORT;
+    return prompt_is_long(f->info.prompt_tokens) ? AFTER_LONG_PROMPT
+                                                 : AFTER_SHORT_PROMPT;
 }
 
 /* A whole answer of this system's own. */
 static void
-answer_own(forward_t *f, guint status, const char *reason)
+answer_locally(forward_t *f, guint status, const char *reason)
 {
     entry_t *e = f->entry;
     http_exchange_t *exchange = f->exchange;
@@ -230,13 +234,13 @@
     if (status == 503 || status == 429) {
         retry_after_t after = retry_after_of(f);
         gint ms =
-            after.least_ms + g_rand_int_range(e->random, 0, after.spread_ms);
+            after.min_ms + g_rand_int_range(e->random, 0, after.spread_ms);
         g_string_append_printf(fields, "Retry-After: %.3f\r\n",
                                (double)ms / 1000);
     }
     log_outcome(f, status, reason);
     count_outcome(f, status);
-    if (placement_is_limited(&f->placed)) {
+    if (placement_is_limited(&f->placement_counts)) {
         counter_add(counter_get("requests_refused_limited_total", NULL, FALSE),
                     1);
     }
@@ -249,10 +253,10 @@
 }
 
 void
-forward_give_up(forward_t *f, const char *reason)
+forward_fail(forward_t *f, const char *reason)
 {
     http_exchange_t *exchange = f->exchange;
-    if (f->begun) {
+    if (f->head_sent) {
         log_outcome(f, 502, reason);
         count_outcome(f, 502);
         http_exchange_set_data(exchange, NULL);
@@ -260,8 +264,8 @@
         http_exchange_abort(exchange);
         return;
     }
-    gboolean late = forward_now(f) >= f->final_us;
-    answer_own(f, f->runs == 0 ? 503 : late ? 504 : 502, reason);
+    gboolean expired = forward_now(f) >= f->deadline_us;
+    answer_locally(f, f->runs == 0 ? 503 : expired ? 504 : 502, reason);
 }
 
 void
@@ -272,7 +276,7 @@
     GByteArray *body = g_byte_array_ref(f->body);
     guint status = f->status;
     if (status < 500 && !f->not_run) {
-        forward_note_answered(f);
+        forward_record_answered(f);
     }
     log_outcome(f, status, "answered");
     count_outcome(f, status);
@@ -289,7 +293,7 @@
 forward_finish(forward_t *f)
 {
     http_exchange_t *exchange = f->exchange;
-    forward_note_answered(f);
+    forward_record_answered(f);
     log_outcome(f, f->status, "answered");
     count_outcome(f, f->status);
     http_exchange_set_data(exchange, NULL);
@@ -301,53 +305,53 @@
 
 /* When a silent endpoint is left for another; G_MAXINT64: never. */
 static gint64
-patience_until(const forward_t *f)
+silence_deadline_us(const forward_t *f)
 {
     if (f->call == NULL || !route_repeatable(f->route) ||
         f->runs + 1 >= f->route->max_attempts) {
         return G_MAXINT64;
     }
     if (f->has_event) {
-        gint64 since = MAX(f->progress_us, f->sent_us);
-        return MAX(since, f->stayed_us) + STREAM_SILENCE_US;
+        gint64 since = MAX(f->last_byte_us, f->sent_us);
+        return MAX(since, f->last_silent_us) + STREAM_SILENCE_US;
     }
-    gint64 patience = MAX(PATIENCE_TARGETS * f->route->target_ms * MS,
-                          (gint64)PATIENCE_LEAST_US);
-    return MAX(f->sent_us, f->stayed_us) + patience;
+    gint64 silence_us = MAX(SILENCE_TARGETS * f->route->target_ms * MS,
+                            (gint64)SILENCE_MIN_US);
+    return MAX(f->sent_us, f->last_silent_us) + silence_us;
 }
 
 static void
-on_time(void *data)
+on_timer(void *data)
 {
     forward_t *f = data;
     gint64 now = forward_now(f);
     f->timer = 0;
-    if (now >= f->final_us) {
+    if (now >= f->deadline_us) {
         if (f->call != NULL) {
             f->runs += client_call_sent(f->call);
-            forward_note_lost(f);
-            forward_note_left(f);
+            forward_count_interrupted_run(f);
+            forward_record_abandoned(f);
             client_call_cancel(f->call);
             f->call = NULL;
         }
-        forward_give_up(f, "time is up");
+        forward_fail(f, "time is up");
         return;
     }
-    if (now >= patience_until(f)) {
-        forward_leave_silent(f);
+    if (now >= silence_deadline_us(f)) {
+        forward_handle_silence(f);
         return;
     }
-    forward_arm(f);
+    forward_set_timer(f);
 }
 
 void
-forward_arm(forward_t *f)
+forward_set_timer(forward_t *f)
 {
     entry_t *e = f->entry;
-    gint64 until = MIN(f->final_us, patience_until(f));
+    gint64 until = MIN(f->deadline_us, silence_deadline_us(f));
     timers_cancel(e->timers, f->timer);
     f->timer = timers_subscribe(e->timers, MAX(until - forward_now(f), 0), 0,
-                                on_time, f);
+                                on_timer, f);
 }
 
 /* ---- admission ---- */
@@ -366,7 +370,7 @@
         *reason = "no configuration yet";
         return 503;
     }
-    if (!memory_admits(entry_memory(e), entry_answers_held(e))) {
+    if (!memory_admits(entry_memory_bytes(e), entry_answer_bytes(e))) {
         *reason = "answers that are not read fill the memory";
         return 503;
     }
@@ -407,29 +411,30 @@
     event_stream_init(&f->events);
     platform_request_decode(http_exchange_head(exchange), &f->info);
     http_exchange_set_data(exchange, f);
-    e->forwards++;
+    e->requests_in_flight++;
     guint status = admit(f, &reason);
     if (status != 0) {
-        answer_own(f, status, reason);
+        answer_locally(f, status, reason);
         return;
     }
     gint64 wait_ms =
         f->info.deadline_ms > 0 ? f->info.deadline_ms : DEADLINE_DEFAULT_MS;
-    f->final_us = f->started_us + MIN(wait_ms, f->route->timeout_ms) * MS;
+    f->deadline_us = f->started_us + MIN(wait_ms, f->route->timeout_ms) * MS;
     f->service = route_pick(
         f->route, f->route->weight_sum == 1
                       ? 0
                       : (guint)g_rand_int_range(e->random, 0,
                                                 (gint)f->route->weight_sum));
     repeat_limits_t limits = entry_repeat_limits(e);
-    f->use = entry_service(e, f->service);
-    f->use->arrived++;
-    prompt_sample_t note = {.prompt_tokens = f->info.prompt_tokens,
-                            .target_ms = f->route->target_ms,
-                            .pause_ms = f->route->pause_ms,
-                            .priority = f->route->priority};
-    prompt_mix_record(&f->use->prompts, note, forward_now(f));
-    repeat_budget_record_first(&f->use->budget, &limits, forward_now(f));
+    f->service_state = entry_service_state(e, f->service);
+    f->service_state->arrived++;
+    prompt_sample_t sample = {.prompt_tokens = f->info.prompt_tokens,
+                              .target_ms = f->route->target_ms,
+                              .pause_ms = f->route->pause_ms,
+                              .priority = f->route->priority};
+    prompt_mix_record(&f->service_state->prompts, sample, forward_now(f));
+    repeat_budget_record_first(&f->service_state->budget, &limits,
+                               forward_now(f));
     forward_send(f);
 }
 
@@ -441,9 +446,9 @@
         return;
     }
     if (f->call != NULL && client_call_sent(f->call)) {
-        forward_note_lost(f);
+        forward_count_interrupted_run(f);
     }
-    forward_note_left(f);
+    forward_record_abandoned(f);
     log_outcome(f, 499, "the caller left");
     count_outcome(f, 499);
     forward_free(f);
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -6,11 +6,11 @@
     MS = 1000,
     /* Answers held whole before they go on: a part that is lost can still be
      * made good by another endpoint. Plain answers met so far have 5 KB. */
-    ANSWER_MAX = 16 * 1024 * 1024,
+    ANSWER_BYTES_MAX = 16 * 1024 * 1024,
 };
 
 void
-forward_note_endpoint(forward_t *f, endpoint_outcome_t outcome)
+forward_record_outcome(forward_t *f, endpoint_outcome_t outcome)
 {
     if (f->endpoint != NULL) {
         endpoint_record_outcome(f->endpoint, outcome, forward_now(f));
@@ -18,7 +18,7 @@
 }
 
 static void
-note_malformed_limit(const forward_t *f)
+log_malformed_limit(const forward_t *f)
 {
     counter_add(counter_get("limits_malformed_total", NULL, FALSE), 1);
     if (event_log_begin(EVENT_FAILURE, "limit_malformed")) {
@@ -31,7 +31,7 @@
 /* What the endpoint says of its limit. Another one that has its address speaks
  * for itself, and only a success is surely what the endpoint says of now. */
 static void
-note_limit(const forward_t *f, const answer_info_t *answer, guint status)
+record_limit(const forward_t *f, const answer_info_t *answer, guint status)
 {
     limit_link_t *link = f->entry->limit_link;
     gboolean success = status >= 200 && status < 300;
@@ -40,14 +40,15 @@
     }
     switch (answer->limit_field) {
     case LIMIT_FIELD_NAMED:
-        limit_link_named(link, f->endpoint, answer->limit, f->limit_sent_us);
+        limit_link_record_limit(link, f->endpoint, answer->limit,
+                                f->limit_sent_us);
         break;
     case LIMIT_FIELD_MALFORMED:
-        note_malformed_limit(f);
+        log_malformed_limit(f);
         break;
     case LIMIT_FIELD_ABSENT:
         if (success && f->endpoint->limit != NULL) {
-            limit_link_absent(link, f->endpoint, f->limit_sent_us);
+            limit_link_record_unlimited(link, f->endpoint, f->limit_sent_us);
         }
         break;
     }
@@ -62,7 +63,7 @@
 }
 
 static void
-keep_fields(forward_t *f, const http_head_t *head)
+copy_fields(forward_t *f, const http_head_t *head)
 {
     g_string_truncate(f->fields, 0);
     for (guint i = 0; i < head->fields->len; i++) {
@@ -92,57 +93,57 @@
         return CALL_REFUSE;
     }
     f->not_run = answer.not_run;
-    note_limit(f, &answer, head->status);
-    forward_note_heard(f);
-    if (f->begun) {
+    record_limit(f, &answer, head->status);
+    forward_record_bytes(f);
+    if (f->head_sent) {
         f->streaming = success;
         f->status = head->status;
         return CALL_TAKE;
     }
     f->status = head->status;
     f->streaming = success && is_event_stream(head);
-    keep_fields(f, head);
-    f->entry->gathered -= f->body->len;
+    copy_fields(f, head);
+    f->entry->buffered_bytes -= f->body->len;
     g_byte_array_set_size(f->body, 0);
     return CALL_TAKE;
 }
 
 /* What a first event tells of the endpoint's engine. */
 static void
-learn_first(const forward_t *f)
+record_prefill(const forward_t *f)
 {
     if (f->endpoint == NULL || f->info.prompt_tokens == 0) {
         return;
     }
-    double tokens = (double)f->found_waiting + f->waiting_tokens;
+    double tokens = (double)f->waiting_tokens_at_send + f->waiting_tokens;
     double ms = (double)(forward_now(f) - f->sent_us) / MS;
-    engine_model_record_first(&f->use->engine, tokens, ms);
+    engine_model_record_first(&f->service_state->engine, tokens, ms);
 }
 
 static void
-note_first(forward_t *f)
+record_first_output(forward_t *f)
 {
-    forward_end_wait(f);
-    if (f->first_us == 0) {
-        f->first_us = forward_now(f);
+    forward_end_prefill(f);
+    if (f->first_output_us == 0) {
+        f->first_output_us = forward_now(f);
     }
 }
 
 static void
-note_event(forward_t *f)
+record_event(forward_t *f)
 {
     gint64 now = forward_now(f);
-    if (!f->heard) {
-        f->heard = TRUE;
-        f->heard_us = now;
-        forward_note_begun(f);
-        learn_first(f);
+    if (!f->event_received) {
+        f->event_received = TRUE;
+        f->endpoint_first_event_us = now;
+        forward_count_run(f);
+        record_prefill(f);
     }
-    note_first(f);
-    if (f->event_us != 0) {
-        f->longest_us = MAX(f->longest_us, now - f->event_us);
+    record_first_output(f);
+    if (f->last_event_us != 0) {
+        f->longest_pause_us = MAX(f->longest_pause_us, now - f->last_event_us);
     }
-    f->event_us = now;
+    f->last_event_us = now;
 }
 
 static void
@@ -156,9 +157,9 @@
         f->has_event = TRUE;
         f->last_event = id;
     }
-    note_event(f);
-    if (!f->begun) {
-        f->begun = TRUE;
+    record_event(f);
+    if (!f->head_sent) {
+        f->head_sent = TRUE;
         http_exchange_begin(
             f->exchange, f->status,
             (str_t){.data = f->fields->str, .length = f->fields->len});
@@ -174,52 +175,53 @@
     counter_add(counter_get("answers_too_long_total", NULL, FALSE), 1);
     client_call_cancel(f->call);
     f->call = NULL;
-    forward_note_endpoint(f, ENDPOINT_BROKEN);
+    forward_record_outcome(f, ENDPOINT_BROKEN);
     f->runs++;
     forward_repeat(f, TRUE, reason);
 }
 
 static void
-gather(forward_t *f, str_t bytes)
+buffer_answer(forward_t *f, str_t bytes)
 {
     entry_t *e = f->entry;
-    if (f->body->len + bytes.length > ANSWER_MAX) {
+    if (f->body->len + bytes.length > ANSWER_BYTES_MAX) {
         answer_too_long(f, "the endpoint's answer is too long");
         return;
     }
-    if (!memory_admits_buffered(entry_memory(e), entry_answers_held(e))) {
+    if (!memory_admits_buffered(entry_memory_bytes(e),
+                                entry_answer_bytes(e))) {
         answer_too_long(f, "no memory for the endpoint's answer");
         return;
     }
     g_byte_array_append(f->body, (const guint8 *)bytes.data,
                         (guint)bytes.length);
-    e->gathered += bytes.length;
+    e->buffered_bytes += bytes.length;
 }
 
 /* Whether the endpoint has to wait, since the caller reads slowly. */
 static gboolean
-is_behind(const forward_t *f)
+is_caller_behind(const forward_t *f)
 {
     const entry_t *e = f->entry;
-    return f->begun &&
+    return f->head_sent &&
            http_exchange_backlog(f->exchange) >
-               memory_stream_max(entry_memory(e), entry_answers_held(e));
+               memory_stream_max(entry_memory_bytes(e), entry_answer_bytes(e));
 }
 
 static void
 on_answer_body(client_call_t *call, str_t bytes, void *user)
 {
     forward_t *f = user;
-    forward_note_heard(f);
+    forward_record_bytes(f);
     if (!f->streaming) {
-        gather(f, bytes);
+        buffer_answer(f, bytes);
         return;
     }
     if (event_stream_feed(&f->events, bytes, on_event, f) != EVENT_STREAM_OK) {
         answer_too_long(f, "an event of the endpoint is too long");
         return;
     }
-    if (is_behind(f)) {
+    if (is_caller_behind(f)) {
         f->paused = TRUE;
         client_call_read(call, FALSE);
     }
@@ -229,13 +231,13 @@
 finish_stream(forward_t *f)
 {
     if (!event_stream_at_boundary(&f->events)) {
-        forward_note_endpoint(f, ENDPOINT_BROKEN);
+        forward_record_outcome(f, ENDPOINT_BROKEN);
         f->runs++;
         forward_repeat(f, TRUE, "the stream ended within an event");
         return;
     }
-    forward_note_endpoint(f, ENDPOINT_SERVED);
-    if (!f->begun) {
+    forward_record_outcome(f, ENDPOINT_SERVED);
+    if (!f->head_sent) {
         f->streaming = FALSE;
         forward_deliver(f);
         return;
@@ -248,9 +250,9 @@
 handle_not_run(forward_t *f)
 {
     f->refusals++;
-    forward_note_endpoint(f, f->status == 421 ? ENDPOINT_MISDIRECTED
-                                              : ENDPOINT_FULL);
-    if (f->status == 400 && !f->begun) {
+    forward_record_outcome(f, f->status == 421 ? ENDPOINT_MISDIRECTED
+                                               : ENDPOINT_FULL);
+    if (f->status == 400 && !f->head_sent) {
         forward_deliver(f);
         return;
     }
@@ -261,7 +263,7 @@
  * plain service; of an engine a whole one, or its own failure. The runs of
  * streams were noted with their first event. */
 static gboolean
-is_end_of_run(const forward_t *f)
+is_run_proven(const forward_t *f)
 {
     gboolean denied = f->status >= 400 && f->status < 500;
     return f->info.prompt_tokens == 0 || (!f->streaming && !denied);
@@ -277,27 +279,28 @@
         handle_not_run(f);
         return;
     }
-    if (is_end_of_run(f)) {
-        forward_note_begun(f);
+    if (is_run_proven(f)) {
+        forward_count_run(f);
     }
     if (f->streaming) {
         finish_stream(f);
         return;
     }
-    gboolean erred = f->status >= 500;
-    forward_note_endpoint(f, erred ? ENDPOINT_SERVER_ERROR : ENDPOINT_SERVED);
-    if (f->begun) {
+    gboolean failed = f->status >= 500;
+    forward_record_outcome(f,
+                           failed ? ENDPOINT_SERVER_ERROR : ENDPOINT_SERVED);
+    if (f->head_sent) {
         f->runs++;
         forward_repeat(f, TRUE, "a resumed stream was not taken up");
         return;
     }
-    if (erred && route_repeatable(f->route)) {
+    if (failed && route_repeatable(f->route)) {
         f->runs++;
         if (forward_try_repeat(f, TRUE, "the endpoint failed")) {
             return;
         }
     }
-    note_first(f);
+    record_first_output(f);
     forward_deliver(f);
 }
 
@@ -314,15 +317,16 @@
     (void)call;
     forward_t *f = user;
     f->call = NULL;
-    gboolean arrived =
+    gboolean received =
         failure != CALL_FAILED_UNSENT && failure != CALL_FAILED_REFUSED;
-    forward_note_failure(f, failure);
-    forward_note_endpoint(f, arrived ? ENDPOINT_BROKEN : ENDPOINT_UNREACHABLE);
-    f->runs += arrived;
-    if (arrived) {
-        forward_note_lost(f);
+    forward_record_failure(f, failure);
+    forward_record_outcome(f,
+                           received ? ENDPOINT_BROKEN : ENDPOINT_UNREACHABLE);
+    f->runs += received;
+    if (received) {
+        forward_count_interrupted_run(f);
     }
-    forward_repeat(f, arrived, REASONS[failure]);
+    forward_repeat(f, received, REASONS[failure]);
 }
 
 const client_call_ops_t FORWARD_CALL_OPS = {.head = on_answer_head,
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -10,7 +10,7 @@
     /* A request that crashes its endpoint does so as it begins to run, within
      * a tenth of a second where it was seen; one that has answered for five
      * times as long most likely ran beside the cause. */
-    RUN_LONG_US = 500 * MS,
+    LONG_RUN_US = 500 * MS,
 };
 
 /* ---- which request ---- */
@@ -33,17 +33,17 @@
 }
 
 static run_stage_t
-stage_of(forward_t *f)
+run_stage(forward_t *f)
 {
     gint64 now = forward_now(f);
     if (run_history_is_answered(&f->entry->history, forward_fingerprint(f),
                                 now)) {
         return RUN_ANSWERED;
     }
-    if (f->heard && now - f->heard_us > RUN_LONG_US) {
+    if (f->event_received && now - f->endpoint_first_event_us > LONG_RUN_US) {
         return RUN_LONG;
     }
-    return f->on_trial ? RUN_PROBE : RUN_BEGINNING;
+    return f->is_probe ? RUN_PROBE : RUN_BEGINNING;
 }
 
 /* How it stands at its endpoint, for whoever looks into that one's end. */
@@ -51,13 +51,13 @@
 watched_run(forward_t *f)
 {
     return (watched_run_t){
-        .run = {.fingerprint = forward_fingerprint(f), .stage = stage_of(f)},
+        .run = {.fingerprint = forward_fingerprint(f), .stage = run_stage(f)},
         .sent_us = f->sent_us,
     };
 }
 
 static void
-log_trial(forward_t *f)
+log_probe(forward_t *f)
 {
     counter_add(counter_get("requests_tried_total", NULL, FALSE), 1);
     if (event_log_begin(EVENT_STATE, "request_tried")) {
@@ -68,21 +68,21 @@
 }
 
 gboolean
-forward_is_held(forward_t *f)
+forward_is_quarantined(forward_t *f)
 {
     quarantine_t *quarantine = f->entry->quarantine;
-    f->held = quarantine_is_empty(quarantine)
-                  ? NULL
-                  : quarantine_find(quarantine, forward_fingerprint(f),
-                                    forward_now(f));
-    f->on_trial = FALSE;
-    if (f->held != NULL &&
+    f->quarantined = quarantine_is_empty(quarantine)
+                         ? NULL
+                         : quarantine_find(quarantine, forward_fingerprint(f),
+                                           forward_now(f));
+    f->is_probe = FALSE;
+    if (f->quarantined != NULL &&
         quarantine_take_probe(quarantine, f->fingerprint, forward_now(f))) {
-        log_trial(f);
-        f->held = NULL;
-        f->on_trial = TRUE;
+        log_probe(f);
+        f->quarantined = NULL;
+        f->is_probe = TRUE;
     }
-    return f->held != NULL;
+    return f->quarantined != NULL;
 }
 
 /* A request that its endpoint answers does not crash it; without it what all
@@ -90,13 +90,13 @@
  * once a request: 0.14 us with a body of 1 KB, 7 us with 64 KB, as timed over
  * 200,000 of each. */
 void
-forward_note_answered(forward_t *f)
+forward_record_answered(forward_t *f)
 {
     entry_t *e = f->entry;
     guint64 fingerprint = forward_fingerprint(f);
     run_history_record_answered(&e->history, fingerprint, forward_now(f));
     if (run_history_take_cut(&e->history, fingerprint)) {
-        crash_link_answered(e->crash_link, fingerprint);
+        crash_link_report_answered(e->crash_link, fingerprint);
     }
 }
 
@@ -112,9 +112,9 @@
 
 /* Bytes of the endpoint: it lives. */
 void
-forward_note_heard(forward_t *f)
+forward_record_bytes(forward_t *f)
 {
-    f->progress_us = forward_now(f);
+    f->last_byte_us = forward_now(f);
     if (f->endpoint != NULL && crash_watch_is_open(f->entry->crashes)) {
         crash_watch_heard(f->entry->crashes, f->endpoint);
     }
@@ -122,7 +122,7 @@
 
 /* Whether the endpoint ended under it is found out later. */
 void
-forward_note_failure(forward_t *f, call_failure_t failure)
+forward_record_failure(forward_t *f, call_failure_t failure)
 {
     crash_watch_t *watch = f->entry->crashes;
     if (f->endpoint == NULL) {
@@ -138,7 +138,7 @@
 
 /* It is given up while it may run at its endpoint. */
 void
-forward_note_left(forward_t *f)
+forward_record_abandoned(forward_t *f)
 {
     if (f->call != NULL && f->endpoint != NULL && client_call_sent(f->call)) {
         crash_watch_left(f->entry->crashes, f->endpoint, watched_run(f));
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -15,15 +15,15 @@
     ENDPOINT_IDLE_US = 8 * G_USEC_PER_SEC,
     ENDPOINT_IDLE_MAX = 64,
     ANSWER_HEAD_MAX = 65536,
-    CONNECTIONS_LEAST = 4, /* to one endpoint */
+    CONNECTIONS_MIN = 4, /* to one endpoint */
     /* Less than this is not worth an endpoint's work. */
-    DEADLINE_LEAST_MS = 5,
+    DEADLINE_MIN_MS = 5,
     /* Shorter shared parts are read again in less time than the others are
      * told. */
-    PART_TOLD_TOKENS = 1024,
+    PART_REPORTED_MIN_TOKENS = 1024,
     /* The same of the part before them, which is told once for all endpoints
      * that get it from the first. */
-    PREFIX_TOLD_TOKENS = 64,
+    PREFIX_REPORTED_MIN_TOKENS = 64,
 };
 
 static const http_peer_limits_t ENDPOINT_LIMITS = {
@@ -41,28 +41,29 @@
         (!route_repeatable(f->route) || f->runs >= f->route->max_attempts)) {
         return FALSE;
     }
-    if (f->begun && !f->route->resumable) {
+    if (f->head_sent && !f->route->resumable) {
         return FALSE;
     }
     return f->sends < SENDS_MAX &&
-           f->final_us - forward_now(f) > DEADLINE_LEAST_MS * MS;
+           f->deadline_us - forward_now(f) > DEADLINE_MIN_MS * MS;
 }
 
 /* Takes a repeat from the budget of all instances. */
 static gboolean
-take_repeat(forward_t *f)
+take_repeat_from_budget(forward_t *f)
 {
     entry_t *e = f->entry;
     repeat_limits_t limits = entry_repeat_limits(e);
-    return repeat_budget_take(&f->use->budget, &limits,
-                              instance_count_get(&e->sharers), forward_now(f));
+    return repeat_budget_take(&f->service_state->budget, &limits,
+                              instance_count_get(&e->sharing_instances),
+                              forward_now(f));
 }
 
 /* Sends it to another endpoint; all that allows it was asked. */
 static void
-repeat(forward_t *f, const char *reason)
+send_repeat(forward_t *f, const char *reason)
 {
-    forward_leave_endpoint(f);
+    forward_detach_endpoint(f);
     if (event_log_begin(EVENT_FAILURE, "repeat")) {
         event_log_text("request", f->info.id);
         event_log_cstr("reason", reason);
@@ -78,21 +79,21 @@
 }
 
 gboolean
-forward_try_repeat(forward_t *f, gboolean arrived, const char *reason)
+forward_try_repeat(forward_t *f, gboolean received, const char *reason)
 {
-    if (!may_repeat(f) || (arrived && !take_repeat(f))) {
+    if (!may_repeat(f) || (received && !take_repeat_from_budget(f))) {
         return FALSE;
     }
-    repeat(f, reason);
+    send_repeat(f, reason);
     return TRUE;
 }
 
 void
-forward_repeat(forward_t *f, gboolean arrived, const char *reason)
+forward_repeat(forward_t *f, gboolean received, const char *reason)
 {
-    if (!forward_try_repeat(f, arrived, reason)) {
-        forward_leave_endpoint(f);
-        forward_give_up(f, reason);
+    if (!forward_try_repeat(f, received, reason)) {
+        forward_detach_endpoint(f);
+        forward_fail(f, reason);
     }
 }
 
@@ -111,39 +112,40 @@
 
 /* Whether sends to endpoints with limits are left to more urgent requests. */
 static gboolean
-yields(const forward_t *f)
+yields_limited_sends(const forward_t *f)
 {
     const entry_t *e = f->entry;
     if (directory_limits(e->directory)->len == 0) {
         return FALSE;
     }
     limit_tokens_t tokens = limit_link_tokens(e->limit_link, f->service);
-    return limit_share_yields(&f->use->limit_share, (guint)priority_of(f),
-                              &tokens, forward_now(f));
+    return limit_share_yields(&f->service_state->limit_share,
+                              (guint)priority_of(f), &tokens, forward_now(f));
 }
 
 static void
-placement_of(const forward_t *f, placement_request_t *request)
+fill_placement_request(const forward_t *f, placement_request_t *request)
 {
     const service_t *service = route_config_service(f->config, f->service);
     *request = (placement_request_t){
         .parts = f->info.parts,
         .part_count = f->info.part_count,
         .prompt_tokens = f->info.prompt_tokens,
-        .partitioned =
-            prompt_mix_needs_partition(&f->use->prompts, forward_now(f)),
-        .long_fraction = engine_split_long_fraction(&f->use->split),
-        .long_tokens = prompt_mix_long_tokens(&f->use->prompts),
+        .partitioned = prompt_mix_needs_partition(&f->service_state->prompts,
+                                                  forward_now(f)),
+        .long_fraction = engine_split_long_fraction(&f->service_state->split),
+        .long_tokens = prompt_mix_long_tokens(&f->service_state->prompts),
         .target_ms = f->route->target_ms,
-        .short_prompt_pause_ms = f->use->prompts.short_prompt_pause_ms,
-        .tokens_per_ms = engine_model_tokens_per_ms(&f->use->engine),
+        .short_prompt_pause_ms =
+            f->service_state->prompts.short_prompt_pause_ms,
+        .tokens_per_ms = engine_model_tokens_per_ms(&f->service_state->engine),
         .memory_tokens = service != NULL ? service->memory_tokens : 0,
         .fetch_tokens_per_ms =
             service != NULL ? service->fetch_tokens_a_ms : 0,
-        .load_scale = entry_knows_loads(f->entry) ? 0 : f->entry->entries,
+        .load_scale = entry_has_recent_loads(f->entry) ? 0 : f->entry->entries,
         .data_centre = f->entry->settings->data_centre,
         .tried_count = MIN(f->sends, PLACEMENT_TRIED_MAX),
-        .yields = yields(f),
+        .yields = yields_limited_sends(f),
         .limits_now_us = limit_link_now(),
         .draw = g_rand_int(f->entry->random),
     };
@@ -160,10 +162,10 @@
             route_config_service(f->config, endpoint->service);
         if (service != NULL && service->connections > 0) {
             /* At most half of them, however few instances there are. */
-            limits.connections =
-                MIN(instance_count_share(&e->sharers, service->connections,
-                                         CONNECTIONS_LEAST),
-                    MAX(service->connections / 2, CONNECTIONS_LEAST));
+            limits.connections = MIN(
+                instance_count_share(&e->sharing_instances,
+                                     service->connections, CONNECTIONS_MIN),
+                MAX(service->connections / 2, CONNECTIONS_MIN));
         }
         endpoint->connections = http_peer_create(
             e->poller, e->timers, str_from_cstr(endpoint->address), &limits);
@@ -177,7 +179,7 @@
     const endpoint_t *endpoint = placement->endpoint;
     const service_t *service = route_config_service(f->config, f->service);
     forward_info_t info = {
-        .deadline_ms = (f->final_us - forward_now(f)) / MS,
+        .deadline_ms = (f->deadline_us - forward_now(f)) / MS,
         .instance = endpoint->id,
         .team = f->team != NULL ? f->team->name : NULL,
         .priority =
@@ -194,24 +196,25 @@
 /* Tells the others that an endpoint gets the prompt's shared part, unless it
  * is known to have it, and the part before it, unless some endpoint is. */
 static void
-tell_parts(const forward_t *f, const placement_t *placement,
-           const placement_request_t *request)
+report_parts(const forward_t *f, const placement_t *placement,
+             const placement_request_t *request)
 {
     const endpoint_t *endpoint = placement->endpoint;
     prompt_part_t prefix = placement_prefix_part(request);
     prompt_part_t shared = placement_shared_part(request);
-    if (prefix.tokens >= PREFIX_TOLD_TOKENS && !placement->prefix_cached) {
-        load_link_note_part(f->entry->load_link, prefix.id, endpoint);
+    if (prefix.tokens >= PREFIX_REPORTED_MIN_TOKENS &&
+        !placement->prefix_cached) {
+        load_link_record_part(f->entry->load_link, prefix.id, endpoint);
     }
-    if (shared.tokens >= PART_TOLD_TOKENS &&
+    if (shared.tokens >= PART_REPORTED_MIN_TOKENS &&
         !endpoint_has_part(endpoint, shared.id)) {
-        load_link_note_part(f->entry->load_link, shared.id, endpoint);
+        load_link_record_part(f->entry->load_link, shared.id, endpoint);
     }
 }
 
 /* Tells the owners of limits what this request wants of them. */
 static void
-note_limits(const forward_t *f, const placement_t *placement)
+record_limit_demand(const forward_t *f, const placement_t *placement)
 {
     const endpoint_t *chosen = placement->endpoint;
     gboolean limited =
@@ -219,31 +222,31 @@
     if (!limited && placement->denied == NULL) {
         return;
     }
-    limit_share_record_wanted(&f->use->limit_share, (guint)priority_of(f),
-                              forward_now(f));
+    limit_share_record_wanted(&f->service_state->limit_share,
+                              (guint)priority_of(f), forward_now(f));
     if (chosen == NULL) {
-        limit_link_deny_some(f->entry->limit_link, f->service);
+        limit_link_record_denied_sample(f->entry->limit_link, f->service);
     }
     else if (placement->denied != NULL) {
-        limit_link_deny(f->entry->limit_link, placement->denied);
+        limit_link_record_denied(f->entry->limit_link, placement->denied);
     }
 }
 
 static void
-join_endpoint(forward_t *f, const placement_t *placement,
-              const placement_request_t *request)
+attach_endpoint(forward_t *f, const placement_t *placement,
+                const placement_request_t *request)
 {
     endpoint_t *endpoint = placement->endpoint;
     f->endpoint = endpoint;
     g_strlcpy(f->last_endpoint, endpoint->id, sizeof(f->last_endpoint));
-    f->heard = FALSE;
-    f->found_running = endpoint_running(endpoint);
-    f->found_waiting = endpoint_waiting_tokens(endpoint);
+    f->event_received = FALSE;
+    f->running_at_send = endpoint_running(endpoint);
+    f->waiting_tokens_at_send = endpoint_waiting_tokens(endpoint);
     f->waiting_tokens = placement->read_tokens;
     directory_add_request(f->entry->directory, endpoint, f->info.prompt_tokens,
                           f->waiting_tokens);
-    f->use->read_tokens += f->waiting_tokens;
-    tell_parts(f, placement, request);
+    f->service_state->read_tokens += f->waiting_tokens;
+    report_parts(f, placement, request);
     for (guint i = 0; i < request->part_count; i++) {
         directory_record_part(f->entry->directory, endpoint,
                               request->parts[i].id);
@@ -251,11 +254,11 @@
 }
 
 static placement_t
-place(const forward_t *f, placement_request_t *request)
+choose_endpoint(const forward_t *f, placement_request_t *request)
 {
     const GPtrArray *endpoints =
         directory_service(f->entry->directory, f->service);
-    placement_of(f, request);
+    fill_placement_request(f, request);
     if (endpoints == NULL || endpoints->len == 0) {
         return (placement_t){0};
     }
@@ -263,40 +266,40 @@
 }
 
 void
-forward_leave_silent(forward_t *f)
+forward_handle_silence(forward_t *f)
 {
     placement_request_t request;
-    forward_note_endpoint(f, ENDPOINT_BROKEN);
-    if (place(f, &request).endpoint == NULL || !may_repeat(f) ||
-        !take_repeat(f)) {
-        f->stayed_us = forward_now(f);
-        forward_arm(f);
+    forward_record_outcome(f, ENDPOINT_BROKEN);
+    if (choose_endpoint(f, &request).endpoint == NULL || !may_repeat(f) ||
+        !take_repeat_from_budget(f)) {
+        f->last_silent_us = forward_now(f);
+        forward_set_timer(f);
         return;
     }
     f->runs += client_call_sent(f->call);
-    forward_note_lost(f);
+    forward_count_interrupted_run(f);
     client_call_cancel(f->call);
     f->call = NULL;
-    repeat(f, "the endpoint is silent");
+    send_repeat(f, "the endpoint is silent");
 }
 
 void
 forward_send(forward_t *f)
 {
-    if (forward_is_held(f)) {
+    if (forward_is_quarantined(f)) {
         counter_add(counter_get("requests_refused_held_total", NULL, FALSE),
                     1);
-        forward_give_up(f, "endpoints end under this request");
+        forward_fail(f, "endpoints end under this request");
         return;
     }
     placement_request_t request;
-    placement_t placement = place(f, &request);
+    placement_t placement = choose_endpoint(f, &request);
     endpoint_t *endpoint = placement.endpoint;
-    note_limits(f, &placement);
+    record_limit_demand(f, &placement);
     if (endpoint == NULL) {
-        f->use->turned_away++;
-        f->placed = placement.counts;
-        forward_give_up(f, placement_reason(&f->placed));
+        f->service_state->turned_away++;
+        f->placement_counts = placement.counts;
+        forward_fail(f, placement_reason(&f->placement_counts));
         return;
     }
     http_peer_t *peer = peer_of(f, endpoint);
@@ -321,10 +324,10 @@
         return;
     }
     if (endpoint->limit != NULL) {
-        limit_link_spend(f->entry->limit_link, endpoint);
+        limit_link_record_send(f->entry->limit_link, endpoint);
     }
     traffic_count_into(f->entry->traffic, f->call, TRAFFIC_WORK,
                        endpoint->data_centre);
-    join_endpoint(f, &placement, &request);
-    forward_arm(f);
+    attach_endpoint(f, &placement, &request);
+    forward_set_timer(f);
 }
--- a/carobloomd/gateway/forward_state.h
+++ b/carobloomd/gateway/forward_state.h
@@ -22,47 +22,48 @@
     const route_t *route;
     const team_t *team; /* NULL: none is needed */
     const char *service;
-    service_use_t *use;
+    service_state_t *service_state;
     request_info_t info;
-    guint64 fingerprint;               /* 0: not worked out yet */
-    const quarantined_request_t *held; /* as it is refused: it is held back */
-    gboolean on_trial;                 /* its last send */
+    guint64 fingerprint; /* 0: not worked out yet */
+    const quarantined_request_t
+        *quarantined;  /* as it is refused: it is held back */
+    gboolean is_probe; /* its last send */
     gint64 started_us;
-    gint64 final_us; /* it is answered by then */
+    gint64 deadline_us; /* it is answered by then */
     guint64 timer;
     /* where it runs */
     endpoint_t *endpoint;
     char last_endpoint[ENDPOINT_NAME_MAX]; /* its id, for the log */
     client_call_t *call;
     gint64 sent_us;
-    gint64 limit_sent_us; /* the same, by the clock of limits */
-    gint64 stayed_us;     /* when it was silent last and no other took it */
-    guint waiting_tokens; /* that it added to the endpoint's */
+    gint64 limit_sent_us;  /* the same, by the clock of limits */
+    gint64 last_silent_us; /* when it was silent last and no other took it */
+    guint waiting_tokens;  /* that it added to the endpoint's */
     /* when it was sent: what all instances' requests took of the endpoint */
-    guint found_running;
-    guint found_waiting; /* tokens */
-    gboolean counted;    /* that it began to run */
-    gboolean heard;      /* an event came from this endpoint */
-    gint64 heard_us;     /* the first of them */
+    guint running_at_send;
+    guint waiting_tokens_at_send;   /* tokens */
+    gboolean run_counted;           /* that it began to run */
+    gboolean event_received;        /* an event came from this endpoint */
+    gint64 endpoint_first_event_us; /* the first of them */
     const endpoint_t *tried[PLACEMENT_TRIED_MAX];
     guint sends;
-    guint runs;                /* sends that may have run */
-    guint refusals;            /* sends that an endpoint refused */
-    placement_counts_t placed; /* when none took it: why */
+    guint runs;                          /* sends that may have run */
+    guint refusals;                      /* sends that an endpoint refused */
+    placement_counts_t placement_counts; /* when none took it: why */
     /* the answer */
     guint status;
     gboolean not_run;
     gboolean streaming; /* events; passed on as they come */
-    gboolean begun;     /* its head went to the caller */
+    gboolean head_sent; /* its head went to the caller */
     GString *fields;
     GByteArray *body;
     event_stream_t events;
     gboolean has_event;
     guint64 last_event;
-    gint64 progress_us; /* the last byte of the answer */
-    gint64 first_us;
-    gint64 event_us;   /* the last event that went on */
-    gint64 longest_us; /* the longest pause between two of them */
+    gint64 last_byte_us; /* the last byte of the answer */
+    gint64 first_output_us;
+    gint64 last_event_us;    /* the last event that went on */
+    gint64 longest_pause_us; /* the longest pause between two of them */
     gboolean paused;
 } forward_t;
 
@@ -73,19 +74,19 @@
 /* The stream that was begun is complete. */
 void forward_finish(forward_t *f);
 /* Gives up: what is said depends on whether it may have run. */
-void forward_give_up(forward_t *f, const char *reason);
+void forward_fail(forward_t *f, const char *reason);
 /* Sets the time at which something is to be done next. */
-void forward_arm(forward_t *f);
+void forward_set_timer(forward_t *f);
 /* Its prompt is read: it no longer counts as waiting at its endpoint. */
-void forward_end_wait(forward_t *f);
+void forward_end_prefill(forward_t *f);
 /* Takes it off its endpoint; the call is over or cancelled. */
-void forward_leave_endpoint(forward_t *f);
+void forward_detach_endpoint(forward_t *f);
 
 /* It began to run at an endpoint; counted once. */
-void forward_note_begun(forward_t *f);
+void forward_count_run(forward_t *f);
 /* Its endpoint had it, but how far it came is not known: it counts as begun
  * when it should have begun by now. A prompt in a queue has not. */
-void forward_note_lost(forward_t *f);
+void forward_count_interrupted_run(forward_t *f);
 
 /* forward_runs.c */
 /* Which request it is, whatever its id; worked out when first asked for. */
@@ -93,30 +94,30 @@
 /* A field of the log line that is being written. */
 void forward_log_fingerprint(forward_t *f);
 /* Whether it is held back, since endpoints end under it. */
-gboolean forward_is_held(forward_t *f);
+gboolean forward_is_quarantined(forward_t *f);
 /* Bytes of its endpoint came. */
-void forward_note_heard(forward_t *f);
+void forward_record_bytes(forward_t *f);
 /* Its endpoint answered it whole. */
-void forward_note_answered(forward_t *f);
+void forward_record_answered(forward_t *f);
 /* The call failed: whether the endpoint ended is found out later. */
-void forward_note_failure(forward_t *f, call_failure_t failure);
+void forward_record_failure(forward_t *f, call_failure_t failure);
 /* It is given up while it may run at its endpoint. */
-void forward_note_left(forward_t *f);
+void forward_record_abandoned(forward_t *f);
 
 /* forward_send.c */
 void forward_send(forward_t *f);
 /* Sends it to another endpoint if that is allowed. `arrived` tells whether the
  * last one got it, so that one more counts as a repeat. */
-gboolean forward_try_repeat(forward_t *f, gboolean arrived,
+gboolean forward_try_repeat(forward_t *f, gboolean received,
                             const char *reason);
 /* The same, and ends it where it is not allowed. */
-void forward_repeat(forward_t *f, gboolean arrived, const char *reason);
+void forward_repeat(forward_t *f, gboolean received, const char *reason);
 /* Leaves an endpoint that is silent for one that takes the request; stays
  * where there is none, since the silent one may still answer. */
-void forward_leave_silent(forward_t *f);
+void forward_handle_silence(forward_t *f);
 
 /* forward_answer.c */
 extern const client_call_ops_t FORWARD_CALL_OPS;
-void forward_note_endpoint(forward_t *f, endpoint_outcome_t outcome);
+void forward_record_outcome(forward_t *f, endpoint_outcome_t outcome);
 
 #endif
--- a/carobloomd/gateway/gateway.c
+++ b/carobloomd/gateway/gateway.c
@@ -19,16 +19,16 @@
     EXIT_OK = 0,
     EXIT_SETTINGS = 3,
     EXIT_START = 4,
-    MAILBOX_BOUND = 10000,
+    MAILBOX_MAX = 10000,
     DRAIN_POLL_MS = 50,
     SETTINGS_POLL_S = 2, /* for a change of the file without a signal */
-    TRAFFIC_S = 5,       /* between two lines with the bytes that calls took */
+    TRAFFIC_LOG_S = 5,   /* between two lines with the bytes that calls took */
 };
 
 typedef struct {
     const char *path;
-    gint64 file_time;    /* of the settings in force, ns */
-    GPtrArray *settings; /* all that were in force; the last is */
+    gint64 file_mtime_ns; /* of the settings in force, ns */
+    GPtrArray *settings;  /* all that were in force; the last is */
     GMainLoop *loop;
     task_t *task;
     poller_t *poller;
@@ -48,19 +48,18 @@
     }
 }
 
-static const task_ops_t TASK_OPS = {.name = "gateway",
-                                    .mailbox_bound = MAILBOX_BOUND,
-                                    .handle = gateway_handle};
+static const task_ops_t TASK_OPS = {
+    .name = "gateway", .mailbox_bound = MAILBOX_MAX, .handle = gateway_handle};
 
 static void
-on_turn(void *data)
+on_poller_turn(void *data)
 {
     gateway_t *g = data;
     timers_advance(task_timers(g->task), g_get_monotonic_time());
 }
 
 static gboolean
-has_text(const char *text)
+is_set(const char *text)
 {
     return text != NULL && *text != '\0';
 }
@@ -115,7 +114,7 @@
 }
 
 static gint64
-file_time(const char *path)
+file_mtime_ns(const char *path)
 {
     struct stat info;
     if (stat(path, &info) != 0) {
@@ -147,7 +146,7 @@
 reload(gateway_t *g, const char *cause)
 {
     gateway_settings_t *settings = settings_read(g->path);
-    g->file_time = file_time(g->path);
+    g->file_mtime_ns = file_mtime_ns(g->path);
     if (event_log_begin(EVENT_STATE, "reload")) {
         event_log_cstr("cause", cause);
         event_log_cstr("outcome", settings ? "in force" : "refused");
@@ -176,15 +175,15 @@
 on_settings_poll(gpointer data)
 {
     gateway_t *g = data;
-    gint64 time = file_time(g->path);
-    if (time != 0 && time != g->file_time) {
+    gint64 mtime_ns = file_mtime_ns(g->path);
+    if (mtime_ns != 0 && mtime_ns != g->file_mtime_ns) {
         reload(g, "file");
     }
     return G_SOURCE_CONTINUE;
 }
 
 static gboolean
-on_traffic(gpointer data)
+on_traffic_log(gpointer data)
 {
     (void)data;
     traffic_log();
@@ -218,7 +217,7 @@
         event_log_end();
     }
     event_log_flush();
-    on_turn(g);
+    on_poller_turn(g);
     if (g->entry != NULL) {
         entry_drain(g->entry);
     }
@@ -246,17 +245,17 @@
 gateway_start(gateway_t *g, const gateway_settings_t *s)
 {
     g->task = task_create(&TASK_OPS, g, g_main_context_default());
-    g->poller = poller_create(g_main_context_default(), on_turn, g);
+    g->poller = poller_create(g_main_context_default(), on_poller_turn, g);
     if (g->poller == NULL) {
         return FALSE;
     }
-    if (has_text(s->callers)) {
+    if (is_set(s->callers)) {
         g->entry = entry_create(s, g->task, g->poller);
         if (g->entry == NULL) {
             return FALSE;
         }
     }
-    if (has_text(s->control)) {
+    if (is_set(s->control)) {
         g->control = control_create(s, g->task, g->poller);
         if (g->control == NULL) {
             return FALSE;
@@ -264,7 +263,7 @@
     }
     g->pages = (metrics_source_t){
         .pages = PAGES, .page_count = G_N_ELEMENTS(PAGES), .user = g};
-    if (has_text(s->metrics)) {
+    if (is_set(s->metrics)) {
         g->metrics = metrics_server_create(g->poller, task_timers(g->task),
                                            s->metrics, &g->pages);
         if (g->metrics == NULL && event_log_begin(EVENT_STATE, "no_metrics")) {
@@ -293,7 +292,7 @@
     if (settings == NULL) {
         return EXIT_SETTINGS;
     }
-    g.file_time = file_time(path);
+    g.file_mtime_ns = file_mtime_ns(path);
     g.settings = g_ptr_array_new_with_free_func(settings_free);
     g_ptr_array_add(g.settings, settings);
     event_log_start(settings->instance);
@@ -311,7 +310,7 @@
         g_unix_signal_add(SIGHUP, on_hangup, &g);
         g_unix_signal_add(SIGUSR1, on_dump, &g);
         g_timeout_add_seconds(SETTINGS_POLL_S, on_settings_poll, &g);
-        g_timeout_add_seconds(TRAFFIC_S, on_traffic, NULL);
+        g_timeout_add_seconds(TRAFFIC_LOG_S, on_traffic_log, NULL);
         g_main_loop_run(g.loop);
     }
     gateway_stop(&g);
--- a/carobloomd/gateway/inner_line.c
+++ b/carobloomd/gateway/inner_line.c
@@ -3,7 +3,7 @@
 #include "carobloom/common/counters.h"
 #include "carobloom/gateway/inner_post.h"
 
-enum { HELD_MOST_MS = 60 * 1000 };
+enum { HELD_MAX_MS = 60 * 1000 };
 
 struct inner_line {
     inner_line_setup_t setup;
@@ -34,14 +34,14 @@
 }
 
 static void
-on_expired(void *data)
+on_timeout(void *data)
 {
     inner_line_t *line = data;
     line->timer = 0;
     if (line->progress && line->setup.progress_us > 0) {
         line->progress = FALSE;
         line->timer = timers_subscribe(
-            line->setup.timers, line->setup.progress_us, 0, on_expired, line);
+            line->setup.timers, line->setup.progress_us, 0, on_timeout, line);
         return;
     }
     client_call_cancel(line->call);
@@ -59,7 +59,7 @@
     if (http_head_find(head, HELD_FIELD, &held)) {
         http_number(held, &held_ms);
     }
-    line->held_ms = (guint)MIN(held_ms, HELD_MOST_MS);
+    line->held_ms = (guint)MIN(held_ms, HELD_MAX_MS);
     return CALL_TAKE;
 }
 
@@ -163,6 +163,6 @@
     traffic_count(line->setup.traffic, line->call, line->setup.kind,
                   line->address);
     line->timer =
-        timers_subscribe(line->setup.timers, wait_us, 0, on_expired, line);
+        timers_subscribe(line->setup.timers, wait_us, 0, on_timeout, line);
     return TRUE;
 }
--- a/carobloomd/gateway/inner_post.c
+++ b/carobloomd/gateway/inner_post.c
@@ -4,8 +4,8 @@
 inner_post(http_peer_t *peer, const char *path, const char *address,
            str_t body, const client_call_ops_t *ops, void *user)
 {
-    enum { HEAD_ROOM = 128 };
-    GString *bytes = g_string_sized_new(body.length + HEAD_ROOM);
+    enum { HEAD_BYTES = 128 };
+    GString *bytes = g_string_sized_new(body.length + HEAD_BYTES);
     g_string_append_printf(bytes,
                            "POST %s HTTP/1.1\r\nHost: %s\r\n"
                            "Content-Length: %" G_GSIZE_FORMAT "\r\n\r\n",
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -129,9 +129,9 @@
     for (guint i = 0; i < limit_count(link); i++) {
         endpoint_t *endpoint = endpoint_at(link, i);
         if (owner_of(link, endpoint->hash) == a) {
-            endpoint_limit_owner_lost(endpoint->limit,
-                                      instance_count_get(&e->sharers),
-                                      g_rand_double(e->random), now);
+            endpoint_limit_owner_lost(
+                endpoint->limit, instance_count_get(&e->sharing_instances),
+                g_rand_double(e->random), now);
         }
     }
 }
@@ -219,8 +219,8 @@
         endpoint_limit_apply_grant(l, grant, a->asked_us, limit_link_now());
     limit_log_change(e, endpoint, change, a->address);
     limit_share_record_granted(
-        &entry_service(e, endpoint->service)->limit_share, grant->granted,
-        entry_now(e));
+        &entry_service_state(e, endpoint->service)->limit_share,
+        grant->granted, entry_now(e));
 }
 
 static void
@@ -451,8 +451,8 @@
 }
 
 void
-limit_link_named(limit_link_t *link, endpoint_t *e, double rate,
-                 gint64 sent_us)
+limit_link_record_limit(limit_link_t *link, endpoint_t *e, double rate,
+                        gint64 sent_us)
 {
     endpoint_limit_t *l = directory_limit(link->entry->directory, e);
     limit_change_t change =
@@ -462,7 +462,7 @@
 }
 
 void
-limit_link_absent(limit_link_t *link, endpoint_t *e, gint64 sent_us)
+limit_link_record_unlimited(limit_link_t *link, endpoint_t *e, gint64 sent_us)
 {
     limit_change_t change = endpoint_limit_record_unlimited(e->limit, sent_us);
     limit_log_change(link->entry, e, change, "answer");
@@ -470,28 +470,29 @@
 }
 
 void
-limit_link_spend(limit_link_t *link, endpoint_t *e)
+limit_link_record_send(limit_link_t *link, endpoint_t *e)
 {
     if (!e->limit->limited) {
         return;
     }
     endpoint_limit_record_send(
-        e->limit, instance_count_get(&link->entry->sharers), limit_link_now());
+        e->limit, instance_count_get(&link->entry->sharing_instances),
+        limit_link_now());
     counter_add(counter_get("sends_to_limited_total", NULL, FALSE), 1);
     note_change(link, e);
 }
 
 void
-limit_link_deny(limit_link_t *link, endpoint_t *e)
+limit_link_record_denied(limit_link_t *link, endpoint_t *e)
 {
     endpoint_limit_record_denied(e->limit, limit_link_now());
     counter_add(counter_get("sends_kept_by_limits_total", NULL, FALSE), 1);
-    limit_log_spent(link->entry, e);
+    limit_log_denied(link->entry, e);
     note_change(link, e);
 }
 
 void
-limit_link_deny_some(limit_link_t *link, const char *service)
+limit_link_record_denied_sample(limit_link_t *link, const char *service)
 {
     guint count = limit_count(link);
     guint from = g_rand_int(link->entry->random);
@@ -499,7 +500,7 @@
     for (guint i = 0; i < count && denied < DENIED_MOST; i++) {
         endpoint_t *e = endpoint_at(link, (from % count + i) % count);
         if (e->limit->limited && strcmp(e->service, service) == 0) {
-            limit_link_deny(link, e);
+            limit_link_record_denied(link, e);
             denied++;
         }
     }
@@ -532,7 +533,7 @@
             rate += e->limit->rate;
         }
     }
-    return rate / instance_count_get(&link->entry->sharers);
+    return rate / instance_count_get(&link->entry->sharing_instances);
 }
 
 /* Limits that were told before their endpoints were known. */
@@ -549,7 +550,8 @@
 }
 
 void
-limit_link_take(limit_link_t *link, const GArray *states, const char *control)
+limit_link_apply_limits(limit_link_t *link, const GArray *states,
+                        const char *control)
 {
     for (guint i = 0; i < states->len; i++) {
         limit_change_t change;
@@ -576,7 +578,7 @@
 }
 
 void
-limit_link_take_owners(limit_link_t *link, const GPtrArray *controls)
+limit_link_set_owners(limit_link_t *link, const GPtrArray *controls)
 {
     if (has_owners(link, controls)) {
         return;
--- a/carobloomd/gateway/limit_log.c
+++ b/carobloomd/gateway/limit_log.c
@@ -22,7 +22,8 @@
     event_log_cstr("source", source);
     event_log_number("limit_per_1000_s", (gint64)(l->rate * 1000));
     event_log_number("granted", l->tokens);
-    event_log_number("instances", instance_count_get(&entry->sharers));
+    event_log_number("instances",
+                     instance_count_get(&entry->sharing_instances));
     event_log_number("told_age_ms",
                      told_us != 0 ? (limit_link_now() - told_us) / MS : -1);
     event_log_number("sends", (gint64)l->sends);
@@ -50,7 +51,7 @@
 }
 
 void
-limit_log_spent(const entry_t *entry, const endpoint_t *e)
+limit_log_denied(const entry_t *entry, const endpoint_t *e)
 {
     gint64 now = limit_link_now();
     if (now - e->limit->logged_us >= SPENT_US) {
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -63,9 +63,9 @@
 {
     if (event_log_begin(EVENT_STATE, event)) {
         event_log_cstr("control", link->address);
-        event_log_number("loads_age_ms",
-                         (entry_now(link->entry) - link->entry->loads_us) /
-                             MS);
+        event_log_number(
+            "loads_age_ms",
+            (entry_now(link->entry) - link->entry->loads_received_us) / MS);
         event_log_end();
     }
 }
@@ -131,7 +131,7 @@
     directory_apply_loads(e->directory, answer.loads, link->reported);
     directory_apply_parts(e->directory, answer.parts);
     link->heard = answer.heard;
-    entry_take_loads(e);
+    entry_apply_loads(e);
     gint64 since = entry_now(e) - link->asked_us;
     link_wait(link, MAX(answer.ask_ms * (gint64)MS - since, PAUSE_LEAST_US));
     load_answer_clear(&answer);
@@ -229,8 +229,8 @@
 }
 
 void
-load_link_note_part(load_link_t *link, guint64 part,
-                    const endpoint_t *endpoint)
+load_link_record_part(load_link_t *link, guint64 part,
+                      const endpoint_t *endpoint)
 {
     part_copy_t note = {.part = part, .endpoint = endpoint->hash};
     if (link->parts->len < PARTS_MOST) {
@@ -244,5 +244,6 @@
     g_string_append_printf(
         text, "loads reported to %s, told %ld ms ago\n",
         link->address != NULL ? link->address : "none",
-        (long)((entry_now(link->entry) - link->entry->loads_us) / MS));
+        (long)((entry_now(link->entry) - link->entry->loads_received_us) /
+               MS));
 }
--- a/carobloomd/gateway/metrics.c
+++ b/carobloomd/gateway/metrics.c
@@ -36,15 +36,14 @@
 }
 
 static void
-handle_nothing(http_exchange_t *exchange, void *user)
+ignore_event(http_exchange_t *exchange, void *user)
 {
     (void)exchange;
     (void)user;
 }
 
-static const http_server_ops_t OPS = {.request = handle_request,
-                                      .gone = handle_nothing,
-                                      .drained = handle_nothing};
+static const http_server_ops_t OPS = {
+    .request = handle_request, .gone = ignore_event, .drained = ignore_event};
 
 http_server_t *
 metrics_server_create(poller_t *poller, timers_t *timers, const char *address,
--- a/carobloomd/gateway/settings.c
+++ b/carobloomd/gateway/settings.c
@@ -5,77 +5,85 @@
 #include "carobloom/process/settings.h"
 #include "platform.h"
 
-enum { NAME_MAX_BYTES = 128 };
+enum { NAME_BYTES_MAX = 128 };
 
 typedef struct {
     gateway_settings_t settings;
     json_t *gateway;
 } root_t;
 
-#define ROOT(k, t, m, ...)                                                    \
+#define ROOT_FIELD(k, t, m, ...)                                              \
     {                                                                         \
         .key = #k, .type = t, .offset = offsetof(root_t, m), __VA_ARGS__      \
     }
-#define PART(k, t, ...)                                                       \
+#define GATEWAY_FIELD(k, t, ...)                                              \
     {                                                                         \
         .key = #k, .type = t, .offset = offsetof(gateway_settings_t, k),      \
         __VA_ARGS__                                                           \
     }
 
-static const char *const CAPACITY_WAYS[] = {"model", "off", "share", NULL};
+static const char *const CAPACITY_MODES[] = {"model", "off", "share", NULL};
 
 static const field_t ROOT_FIELDS[] = {
-    ROOT(instance, FIELD_STRING, settings.instance, .required = TRUE, .min = 1,
-         .max = NAME_MAX_BYTES),
-    ROOT(data_centre, FIELD_STRING, settings.data_centre, .required = TRUE,
-         .min = 1, .max = NAME_MAX_BYTES),
-    ROOT(region, FIELD_STRING, settings.region, .max = NAME_MAX_BYTES,
-         .fallback = "default"),
-    ROOT(data_folder, FIELD_STRING, settings.data_folder, .max = 4096),
-    ROOT(gateway, FIELD_JSON, gateway, .required = TRUE),
+    ROOT_FIELD(instance, FIELD_STRING, settings.instance, .required = TRUE,
+               .min = 1, .max = NAME_BYTES_MAX),
+    ROOT_FIELD(data_centre, FIELD_STRING, settings.data_centre,
+               .required = TRUE, .min = 1, .max = NAME_BYTES_MAX),
+    ROOT_FIELD(region, FIELD_STRING, settings.region, .max = NAME_BYTES_MAX,
+               .fallback = "default"),
+    ROOT_FIELD(data_folder, FIELD_STRING, settings.data_folder, .max = 4096),
+    ROOT_FIELD(gateway, FIELD_JSON, gateway, .required = TRUE),
 };
 
 static const field_t GATEWAY_FIELDS[] = {
-    PART(address, FIELD_STRING, .required = TRUE, .min = 1, .max = 64),
-    PART(bind, FIELD_STRING, .max = 64),
-    PART(callers, FIELD_STRING, .max = 64),
-    PART(probe, FIELD_STRING, .max = 64),
-    PART(control, FIELD_STRING, .max = 64),
-    PART(metrics, FIELD_STRING, .max = 64),
-    PART(trusted_network, FIELD_BOOL, .fallback = "false"),
-    PART(founding, FIELD_BOOL, .fallback = "false"),
-    PART(peers_port, FIELD_INT, .required = TRUE, .min = 0, .max = 65535),
-    PART(seeds, FIELD_STRINGS, .required = TRUE, .max = 16),
-    PART(memory_mb, FIELD_NUMBER, .min = 32, .max = 1e6, .fallback = "256"),
-    PART(descriptors, FIELD_NUMBER, .min = 64, .max = 1e6, .fallback = "4096"),
-    PART(heartbeat_ms, FIELD_NUMBER, .min = 50, .max = 60000,
-         .fallback = "1000"),
-    PART(grace_s, FIELD_NUMBER, .min = 0.5, .max = 3600, .fallback = "8"),
-    PART(revoke_ms, FIELD_NUMBER, .min = 0, .max = 3600000, .fallback = "0"),
-    PART(retry_ratio, FIELD_NUMBER, .min = 0, .max = 10, .fallback = "0.2"),
-    PART(retry_window_s, FIELD_NUMBER, .min = 0.1, .max = 3600,
-         .fallback = "10"),
-    PART(retry_slack, FIELD_NUMBER, .min = 0, .max = 100000, .fallback = "10"),
-    PART(crash_memory_s, FIELD_NUMBER, .min = 10, .max = 86400,
-         .fallback = "600"),
-    PART(platform, FIELD_STRING, .max = 64),
-    PART(duties, FIELD_STRINGS, .max = 16),
-    PART(duty_lease_ms, FIELD_NUMBER, .min = 0, .max = 600000,
-         .fallback = "3000"),
-    PART(duty_calls_per_s, FIELD_NUMBER, .min = 0.1, .max = 100000,
-         .fallback = "10"),
-    PART(usage_window_s, FIELD_NUMBER, .min = 0.1, .max = 86400,
-         .fallback = "60"),
-    PART(usage_due_s, FIELD_NUMBER, .min = 0.1, .max = 86400,
-         .fallback = "60"),
-    PART(capacity, FIELD_STRING, .choices = CAPACITY_WAYS, .min = 1, .max = 16,
-         .fallback = "model"),
-    PART(capacity_floor, FIELD_NUMBER, .min = 0, .max = 100000,
-         .fallback = "1"),
-    PART(capacity_ceiling, FIELD_NUMBER, .min = 0, .max = 100000,
-         .fallback = "0"),
-    PART(capacity_reclaimable, FIELD_NUMBER, .min = 0, .max = 1,
-         .fallback = "1"),
+    GATEWAY_FIELD(address, FIELD_STRING, .required = TRUE, .min = 1,
+                  .max = 64),
+    GATEWAY_FIELD(bind, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(callers, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(probe, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(control, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(metrics, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(trusted_network, FIELD_BOOL, .fallback = "false"),
+    GATEWAY_FIELD(founding, FIELD_BOOL, .fallback = "false"),
+    GATEWAY_FIELD(peers_port, FIELD_INT, .required = TRUE, .min = 0,
+                  .max = 65535),
+    GATEWAY_FIELD(seeds, FIELD_STRINGS, .required = TRUE, .max = 16),
+    GATEWAY_FIELD(memory_mb, FIELD_NUMBER, .min = 32, .max = 1e6,
+                  .fallback = "256"),
+    GATEWAY_FIELD(descriptors, FIELD_NUMBER, .min = 64, .max = 1e6,
+                  .fallback = "4096"),
+    GATEWAY_FIELD(heartbeat_ms, FIELD_NUMBER, .min = 50, .max = 60000,
+                  .fallback = "1000"),
+    GATEWAY_FIELD(grace_s, FIELD_NUMBER, .min = 0.5, .max = 3600,
+                  .fallback = "8"),
+    GATEWAY_FIELD(revoke_ms, FIELD_NUMBER, .min = 0, .max = 3600000,
+                  .fallback = "0"),
+    GATEWAY_FIELD(retry_ratio, FIELD_NUMBER, .min = 0, .max = 10,
+                  .fallback = "0.2"),
+    GATEWAY_FIELD(retry_window_s, FIELD_NUMBER, .min = 0.1, .max = 3600,
+                  .fallback = "10"),
+    GATEWAY_FIELD(retry_slack, FIELD_NUMBER, .min = 0, .max = 100000,
+                  .fallback = "10"),
+    GATEWAY_FIELD(crash_memory_s, FIELD_NUMBER, .min = 10, .max = 86400,
+                  .fallback = "600"),
+    GATEWAY_FIELD(platform, FIELD_STRING, .max = 64),
+    GATEWAY_FIELD(duties, FIELD_STRINGS, .max = 16),
+    GATEWAY_FIELD(duty_lease_ms, FIELD_NUMBER, .min = 0, .max = 600000,
+                  .fallback = "3000"),
+    GATEWAY_FIELD(duty_calls_per_s, FIELD_NUMBER, .min = 0.1, .max = 100000,
+                  .fallback = "10"),
+    GATEWAY_FIELD(usage_window_s, FIELD_NUMBER, .min = 0.1, .max = 86400,
+                  .fallback = "60"),
+    GATEWAY_FIELD(usage_due_s, FIELD_NUMBER, .min = 0.1, .max = 86400,
+                  .fallback = "60"),
+    GATEWAY_FIELD(capacity, FIELD_STRING, .choices = CAPACITY_MODES, .min = 1,
+                  .max = 16, .fallback = "model"),
+    GATEWAY_FIELD(capacity_floor, FIELD_NUMBER, .min = 0, .max = 100000,
+                  .fallback = "1"),
+    GATEWAY_FIELD(capacity_ceiling, FIELD_NUMBER, .min = 0, .max = 100000,
+                  .fallback = "0"),
+    GATEWAY_FIELD(capacity_reclaimable, FIELD_NUMBER, .min = 0, .max = 1,
+                  .fallback = "1"),
 };
 
 gboolean
@@ -114,7 +122,7 @@
 
 /* What the tables can not say. */
 static void
-check_whole(const gateway_settings_t *s, GPtrArray *faults)
+check_combinations(const gateway_settings_t *s, GPtrArray *faults)
 {
     gboolean entry = s->callers != NULL && *s->callers != '\0';
     gboolean control = s->control != NULL && *s->control != '\0';
@@ -158,7 +166,7 @@
     if (root.gateway != NULL) {
         fields_read(root.gateway, "gateway", GATEWAY_FIELDS,
                     G_N_ELEMENTS(GATEWAY_FIELDS), &root.settings, faults);
-        check_whole(&root.settings, faults);
+        check_combinations(&root.settings, faults);
     }
     json_decref(root.gateway);
     json_decref(json);
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -78,7 +78,7 @@
     gpointer value;
     g_hash_table_iter_init(&iter, e->services);
     while (g_hash_table_iter_next(&iter, &name, &value)) {
-        const service_use_t *use = value;
+        const service_state_t *use = value;
         const service_t *service = route_config_service(e->config, name);
         if (service == NULL || service->slots == 0) {
             continue;
