--- a/carobloomd/gateway/endpoints_page.c
+++ b/carobloomd/gateway/endpoints_page.c
@@ -1,4 +1,5 @@
-/* The endpoints as an entry instance knows them, for operators. */
+/* The page that lists the endpoints known to an entry instance, for
+ * operators. */
 #include <jansson.h>
 
 #include "carobloom/common/clock.h"
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -12,26 +12,28 @@
     MS = 1000,
     SWEEP_US = 500 * MS,
     /* Descriptors that are not callers' connections: listeners, control,
-     * files; endpoints' take half of the rest. */
+     * files. Connections to endpoints take half of the rest. */
     DESCRIPTORS_RESERVED = 300,
     PROBE_CONNECTIONS_MAX = 64,
-    /* The balancer probes each second and gives up after two misses; until
-     * then new connections come. */
+    /* The balancer probes each second and stops sending callers after two
+     * failed probes; until then new connections arrive. */
     DRAIN_NOTICE_US = 2600 * MS,
-    /* Before the platform's deadline, to close in order. */
+    /* Margin before the platform kills the process, to close in order. */
     DRAIN_MARGIN_US = 300 * MS,
-    /* After a start, for the endpoints to be told by more than one control
-     * instance. */
+    /* Delay after a start, in which more than one control instance can report
+     * its endpoints. */
     READY_DELAY_US = 300 * MS,
-    /* Loads of others that are older say nothing of now. */
+    /* Older loads of other instances don't describe the present. */
     LOADS_AGE_MAX_US = 2000 * MS,
 };
 
-/* Of the bound for a withdrawn key: then keyed requests are refused. */
+/* Fraction of the bound for withdrawn keys after which an unconfirmed
+ * configuration no longer admits requests that need a key. */
 static const double CONFIRMED_FRACTION = 0.8;
-/* And then the balancer is told to send callers elsewhere. */
+/* Fraction of the same bound after which the instance is not ready, so that
+ * the balancer sends callers elsewhere. */
 static const double READY_FRACTION = 0.5;
-/* Of the memory, for bodies of requests on their way. */
+/* Fraction of the memory for bodies of requests that are being received. */
 static const double BODIES_FRACTION = 0.25;
 
 gint64
@@ -40,7 +42,7 @@
     return timers_now(e->timers);
 }
 
-/* ---- the configuration ---- */
+/* ---- configuration ---- */
 
 static gboolean
 confirmed_within(const entry_t *e, double fraction)
@@ -259,7 +261,7 @@
 static const http_server_ops_t CALLER_OPS = {
     .request = handle_request, .gone = handle_gone, .drained = handle_drained};
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
 static void
 handle_endpoint_end(void *user, const endpoint_end_t *end)
@@ -416,8 +418,9 @@
         const service_state_t *state = value;
         g_string_append_printf(
             text,
-            "service %s: %.0f tokens read a ms, first event of none after"
-            " %.0f ms, %.2f of the engines for long prompts\n",
+            "service %s: %.0f prompt tokens per ms, first event after"
+            " %.0f ms with none waiting, %.2f of the engines for long "
+            "prompts\n",
             (const char *)service, engine_model_tokens_per_ms(&state->engine),
             engine_model_first_ms(&state->engine, 0),
             engine_split_long_fraction(&state->split));
@@ -432,7 +435,7 @@
         text,
         "config version %lu, confirmed %ld ms ago\nready %d\n"
         "requests %u, connections %u, endpoints %u, entries %u\n"
-        "requests held back %u\n",
+        "requests quarantined %u\n",
         e->config ? (unsigned long)e->config->version : 0,
         (long)entry_config_age_ms(e), is_ready(e), e->requests_in_flight,
         http_server_connections(e->callers), directory_count(e->directory),
--- a/carobloomd/gateway/event_stream.c
+++ b/carobloomd/gateway/event_stream.c
@@ -20,7 +20,8 @@
     g_byte_array_set_size(s->pending, 0);
 }
 
-/* The length of the first event with its blank line; 0: not whole. */
+/* Returns the length of the first event including its blank line, or 0 if the
+ * event is incomplete. */
 static gsize
 event_length(const char *data, gsize length)
 {
@@ -38,7 +39,8 @@
     return 0;
 }
 
-/* The number in the line "id: N". */
+/* Returns the number in the line "id: N", or G_MAXUINT64 if the event has
+ * none. */
 static guint64
 event_id(str_t event)
 {
--- a/carobloomd/gateway/event_stream.h
+++ b/carobloomd/gateway/event_stream.h
@@ -1,7 +1,7 @@
-/* Events of a text/event-stream, told apart in bytes as they come.
+/* Splits the bytes of a text/event-stream into events.
  *
- * Only whole events come out, as the bytes they came as, with the number in
- * their id line. */
+ * Only complete events are passed on, byte for byte as they arrived, with the
+ * number in their id line. */
 #ifndef CAROBLOOMD_GATEWAY_EVENT_STREAM_H
 #define CAROBLOOMD_GATEWAY_EVENT_STREAM_H
 
@@ -16,19 +16,20 @@
 };
 
 typedef struct {
-    GByteArray *pending; /* the event that is not whole yet */
+    GByteArray *pending; /* bytes of the event that is still incomplete */
 } event_stream_t;
 
-/* `id` is G_MAXUINT64 when the event has none. */
+/* Receives one complete event. `id` is G_MAXUINT64 when the event has none. */
 typedef void (*event_fn_t)(str_t bytes, guint64 id, void *user);
 
 void event_stream_init(event_stream_t *stream);
 void event_stream_clear(event_stream_t *stream);
 void event_stream_reset(event_stream_t *stream);
-/* `fn` is called for each whole event. */
+/* Appends bytes and calls `fn` for each event that they complete. Returns
+ * EVENT_STREAM_OK or EVENT_STREAM_ERROR_LONG. */
 int event_stream_feed(event_stream_t *stream, str_t bytes, event_fn_t fn,
                       void *user);
-/* Whether all bytes so far make up whole events. */
+/* Whether the bytes so far end with a complete event. */
 gboolean event_stream_at_boundary(const event_stream_t *stream);
 
 #endif
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -5,34 +5,36 @@
 
 enum {
     MS = 1000,
-    /* Without word of how long a caller waits. */
+    /* Used when the caller names no deadline. */
     DEADLINE_DEFAULT_MS = 60000,
-    STATUS_MAX = 999, /* of HTTP */
-    /* A silent endpoint is left, where the request may repeat, after this
-     * many objectives, or this long within a stream. */
+    STATUS_MAX = 999, /* highest HTTP status that is counted */
+    /* A repeatable request leaves a silent endpoint after SILENCE_TARGETS
+     * latency targets of its route, but not before SILENCE_MIN_US; within a
+     * stream after STREAM_SILENCE_US. */
     SILENCE_TARGETS = 3,
     SILENCE_MIN_US = 250 * MS,
     STREAM_SILENCE_US = 1500 * MS,
-    /* Over which held requests come back once they may: each is a trial. */
+    /* Retries of quarantined requests are spread this widely, since each of
+     * them is a probe. */
     QUARANTINED_SPREAD_MS = 10000,
     LIMITED_SPREAD_MS = 50,
 };
 
-/* When a refused caller should come back: spread, so that callers do not
- * return together. */
+/* Retry-After of a refused request: `min_ms` plus a random part of up to
+ * `spread_ms`, so that callers do not return together. */
 typedef struct {
     gint min_ms;
     gint spread_ms;
 } retry_after_t;
 
-/* A place comes free within a request's work, some 15 ms at a plain server
- * and a second at an engine whose places long prompts hold. */
+/* A slot becomes free within the run time of a request: some 15 ms at a plain
+ * server, and a second at an engine whose slots are taken by long prompts. */
 static const retry_after_t AFTER_SHORT_PROMPT = {150, 350};
 static const retry_after_t AFTER_LONG_PROMPT = {600, 800};
-/* One that may be held by mistake is tried within seconds. */
+/* A request that may be quarantined by mistake is probed within seconds. */
 static const retry_after_t AFTER_UNCERTAIN = {1000, 2000};
-/* An instance that has just started, or is cut off, has its configuration
- * confirmed once a leader is elected: within about two seconds. */
+/* The configuration of an instance that has just started, or was disconnected,
+ * is confirmed once a leader is elected, within about two seconds. */
 static const retry_after_t AFTER_UNCONFIRMED = {1200, 800};
 
 gint64
@@ -41,7 +43,7 @@
     return entry_now(f->entry);
 }
 
-/* ---- the end of a request ---- */
+/* ---- end of a request ---- */
 
 static void
 log_outcome(forward_t *f, guint status, const char *reason)
@@ -97,7 +99,7 @@
     event_log_end();
 }
 
-/* Counters live as long as the process: each is looked up once. */
+/* Counters live as long as the process, so each is looked up once. */
 static counter_t *
 outcome_counter(guint status)
 {
@@ -206,7 +208,8 @@
     if (f->quarantined != NULL && f->quarantined->uncertain) {
         return AFTER_UNCERTAIN;
     }
-    if (f->quarantined != NULL) { /* sooner it would only be refused again */
+    /* An earlier retry would only be refused again. */
+    if (f->quarantined != NULL) {
         gint64 left_us = f->quarantined->until_us - forward_now(f);
         return (retry_after_t){.min_ms = (gint)(left_us / MS),
                                .spread_ms = QUARANTINED_SPREAD_MS};
@@ -221,7 +224,8 @@
                                                  : AFTER_SHORT_PROMPT;
 }
 
-/* A whole answer of this system's own. */
+/* Answers the request with a status of this instance, not of an endpoint.
+ * Frees the request. */
 static void
 answer_locally(forward_t *f, guint status, const char *reason)
 {
@@ -301,9 +305,10 @@
     http_exchange_finish(exchange);
 }
 
-/* ---- time ---- */
+/* ---- timers ---- */
 
-/* When a silent endpoint is left for another; G_MAXINT64: never. */
+/* When the request leaves its endpoint if that stays silent; G_MAXINT64:
+ * never. */
 static gint64
 silence_deadline_us(const forward_t *f)
 {
@@ -356,14 +361,15 @@
 
 /* ---- admission ---- */
 
-/* 0 when it may go on, or the status of its refusal with the reason. */
+/* Returns 0 if the request is admitted, else the status and reason of its
+ * refusal. */
 static guint
 admit(forward_t *f, const char **reason)
 {
     entry_t *e = f->entry;
     *reason = "";
     if (e->refusing) {
-        *reason = "this instance is ending";
+        *reason = "this instance is shutting down";
         return 503;
     }
     if (e->config == NULL) {
@@ -371,14 +377,15 @@
         return 503;
     }
     if (!memory_admits(entry_memory_bytes(e), entry_answer_bytes(e))) {
-        *reason = "answers that are not read fill the memory";
+        *reason = "memory is full of answers that callers have not read";
         return 503;
     }
     f->config = route_config_ref(e->config);
     f->route =
         route_config_match(f->config, f->info.host,
                            http_head_target(http_exchange_head(f->exchange)));
-    /* What is not known to be the newest must not be the reason to deny. */
+    /* A configuration that may be outdated must not be the reason to deny a
+     * request. */
     gboolean confirmed = entry_is_confirmed(e);
     if (f->route == NULL) {
         *reason = confirmed ? "no route" : "the configuration may be old";
@@ -449,7 +456,7 @@
         forward_count_interrupted_run(f);
     }
     forward_record_abandoned(f);
-    log_outcome(f, 499, "the caller left");
+    log_outcome(f, 499, "the caller disconnected");
     count_outcome(f, 499);
     forward_free(f);
 }
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -4,8 +4,9 @@
 
 enum {
     MS = 1000,
-    /* Answers held whole before they go on: a part that is lost can still be
-     * made good by another endpoint. Plain answers met so far have 5 KB. */
+    /* Answers other than streams are buffered as a whole before they are
+     * forwarded, so that another endpoint can still take over when one breaks
+     * off. Plain answers so far are about 5 KB. */
     ANSWER_BYTES_MAX = 16 * 1024 * 1024,
 };
 
@@ -28,8 +29,10 @@
     }
 }
 
-/* What the endpoint says of its limit. Another one that has its address speaks
- * for itself, and only a success is surely what the endpoint says of now. */
+/* Records the limit that the endpoint's answer names. Status 421 comes from
+ * another endpoint at this address and says nothing about this one. A missing
+ * limit counts only in a success, since only a success certainly states the
+ * endpoint's present limit. */
 static void
 record_limit(const forward_t *f, const answer_info_t *answer, guint status)
 {
@@ -108,7 +111,7 @@
     return CALL_TAKE;
 }
 
-/* What a first event tells of the endpoint's engine. */
+/* Updates the engine's prefill estimate from the time of the first event. */
 static void
 record_prefill(const forward_t *f)
 {
@@ -152,7 +155,7 @@
     forward_t *f = user;
     if (id != G_MAXUINT64) {
         if (f->has_event && id <= f->last_event) {
-            return; /* the caller has it */
+            return; /* the caller already received this event */
         }
         f->has_event = TRUE;
         f->last_event = id;
@@ -167,8 +170,8 @@
     http_exchange_write(f->exchange, bytes);
 }
 
-/* The answer is over a bound and can not be passed on whole: it is left
- * unread. The request may be gone after this. */
+/* Drops an answer that exceeds a bound and can't be forwarded completely, and
+ * repeats the request if allowed. The request may be freed on return. */
 static void
 answer_too_long(forward_t *f, const char *reason)
 {
@@ -198,7 +201,8 @@
     e->buffered_bytes += bytes.length;
 }
 
-/* Whether the endpoint has to wait, since the caller reads slowly. */
+/* Whether to pause reading from the endpoint because the caller reads
+ * slowly. */
 static gboolean
 is_caller_behind(const forward_t *f)
 {
@@ -245,7 +249,7 @@
     forward_finish(f);
 }
 
-/* The endpoint says that it did not run the request. */
+/* Handles an endpoint's statement that it did not execute the request. */
 static void
 handle_not_run(forward_t *f)
 {
@@ -259,9 +263,9 @@
     forward_repeat(f, TRUE, "refused by the endpoint");
 }
 
-/* Whether an answer that is no refusal says that the request ran: any from a
- * plain service; of an engine a whole one, or its own failure. The runs of
- * streams were noted with their first event. */
+/* Whether an answer other than a refusal proves that the request was executed:
+ * any answer of a plain service; of an engine only a complete answer or a
+ * server error. The runs of streams were counted at their first event. */
 static gboolean
 is_run_proven(const forward_t *f)
 {
@@ -291,7 +295,7 @@
                            failed ? ENDPOINT_SERVER_ERROR : ENDPOINT_SERVED);
     if (f->head_sent) {
         f->runs++;
-        forward_repeat(f, TRUE, "a resumed stream was not taken up");
+        forward_repeat(f, TRUE, "the endpoint did not resume the stream");
         return;
     }
     if (failed && route_repeatable(f->route)) {
@@ -309,10 +313,10 @@
 {
     static const char *const REASONS[] = {
         [CALL_FAILED_UNSENT] = "the endpoint could not be reached",
-        [CALL_FAILED_REFUSED] = "nobody listens at the endpoint's address",
+        [CALL_FAILED_REFUSED] = "the endpoint refused the connection",
         [CALL_FAILED_SENT] = "the endpoint closed without an answer",
         [CALL_FAILED_CUT] = "the endpoint's answer broke off",
-        [CALL_FAILED_SYNTAX] = "the endpoint's answer is not one",
+        [CALL_FAILED_SYNTAX] = "the endpoint's answer is malformed",
     };
     (void)call;
     forward_t *f = user;
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -1,5 +1,5 @@
-/* Which request it is, and what its runs tell: whether endpoints end under it
- * or answer it. */
+/* Fingerprint of a request, and reports on its runs: whether endpoints crash
+ * while they run it, or answer it. */
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
 #include "carobloom/policy/fingerprint.h"
@@ -7,13 +7,13 @@
 
 enum {
     MS = 1000,
-    /* A request that crashes its endpoint does so as it begins to run, within
-     * a tenth of a second where it was seen; one that has answered for five
-     * times as long most likely ran beside the cause. */
+    /* A request that crashes its endpoint does so as it begins to run, in
+     * observed cases within 100 ms. A request that has been answered for five
+     * times as long most likely only ran beside the cause. */
     LONG_RUN_US = 500 * MS,
 };
 
-/* ---- which request ---- */
+/* ---- fingerprint ---- */
 
 guint64
 forward_fingerprint(forward_t *f)
@@ -46,7 +46,8 @@
     return f->is_probe ? RUN_PROBE : RUN_BEGINNING;
 }
 
-/* How it stands at its endpoint, for whoever looks into that one's end. */
+/* Describes the request's run at its endpoint, for the detection of
+ * crashes. */
 static watched_run_t
 watched_run(forward_t *f)
 {
@@ -85,10 +86,10 @@
     return f->quarantined != NULL;
 }
 
-/* A request that its endpoint answers does not crash it; without it what all
- * ask for would be held for being at every end. Its fingerprint is worked out
- * once a request: 0.14 us with a body of 1 KB, 7 us with 64 KB, as timed over
- * 200,000 of each. */
+/* Records that the request does not crash its endpoint. Otherwise a popular
+ * request would be quarantined, since it runs at every endpoint that crashes.
+ * The fingerprint is computed once per request: 0.14 us with a body of 1 KB, 7
+ * us with 64 KB. */
 void
 forward_record_answered(forward_t *f)
 {
@@ -108,9 +109,9 @@
     event_log_cstr("fingerprint", text);
 }
 
-/* ---- what its runs tell ---- */
+/* ---- runs ---- */
 
-/* Bytes of the endpoint: it lives. */
+/* Arriving bytes show that the endpoint is alive. */
 void
 forward_record_bytes(forward_t *f)
 {
@@ -120,7 +121,7 @@
     }
 }
 
-/* Whether the endpoint ended under it is found out later. */
+/* The crash watch determines later whether the endpoint crashed. */
 void
 forward_record_failure(forward_t *f, call_failure_t failure)
 {
@@ -136,7 +137,7 @@
     }
 }
 
-/* It is given up while it may run at its endpoint. */
+/* The request is abandoned while it may be running at its endpoint. */
 void
 forward_record_abandoned(forward_t *f)
 {
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -7,22 +7,23 @@
 
 enum {
     MS = 1000,
-    /* Connections that fail before a byte left may be tried elsewhere at
-     * once; so many endpoints that are all gone mean that more will not
-     * help. */
+    /* A request whose connection failed before a byte was sent may go to
+     * another endpoint at once. When this many endpoints are unreachable,
+     * further attempts are unlikely to succeed. */
     SENDS_MAX = 6,
-    CONNECT_US = 250 * MS, /* a round trip and a busy endpoint, many times */
+    /* Many times a round trip plus the delay of a busy endpoint. */
+    CONNECT_US = 250 * MS,
     ENDPOINT_IDLE_US = 8 * G_USEC_PER_SEC,
     ENDPOINT_IDLE_MAX = 64,
     ANSWER_HEAD_MAX = 65536,
     CONNECTIONS_MIN = 4, /* to one endpoint */
-    /* Less than this is not worth an endpoint's work. */
+    /* With less time left the request is not sent again. */
     DEADLINE_MIN_MS = 5,
-    /* Shorter shared parts are read again in less time than the others are
-     * told. */
+    /* A shared prompt part below this size is read again in less time than it
+     * takes to notify the other instances. */
     PART_REPORTED_MIN_TOKENS = 1024,
-    /* The same of the part before them, which is told once for all endpoints
-     * that get it from the first. */
+    /* The same bound for the prefix part. It is lower because the prefix
+     * is reported once for all endpoints that fetch it from the first one. */
     PREFIX_REPORTED_MIN_TOKENS = 64,
 };
 
@@ -33,7 +34,7 @@
     .head_max = ANSWER_HEAD_MAX,
 };
 
-/* Whether it may go to another endpoint at all. */
+/* Whether the request may be sent to another endpoint at all. */
 static gboolean
 may_repeat(const forward_t *f)
 {
@@ -48,7 +49,7 @@
            f->deadline_us - forward_now(f) > DEADLINE_MIN_MS * MS;
 }
 
-/* Takes a repeat from the budget of all instances. */
+/* Takes one repeat from the budget that all instances share. */
 static gboolean
 take_repeat_from_budget(forward_t *f)
 {
@@ -59,7 +60,8 @@
                               forward_now(f));
 }
 
-/* Sends it to another endpoint; all that allows it was asked. */
+/* Sends the request to another endpoint. The caller has checked that this is
+ * allowed. */
 static void
 send_repeat(forward_t *f, const char *reason)
 {
@@ -97,9 +99,9 @@
     }
 }
 
-/* The route's rank goes first and the team's decides among equals. The other
- * way round engines preempt an urgent kind for a less urgent one
- * (docs/design/placement.md, round 2). */
+/* The route's priority decides first, and the team's among equals. In the
+ * opposite order engines preempted requests of an urgent route for less urgent
+ * ones. */
 static gint
 priority_of(const forward_t *f)
 {
@@ -110,7 +112,8 @@
                      LOWEST);
 }
 
-/* Whether sends to endpoints with limits are left to more urgent requests. */
+/* Whether the request leaves granted sends at limited endpoints to requests of
+ * higher priority. */
 static gboolean
 yields_limited_sends(const forward_t *f)
 {
@@ -161,7 +164,8 @@
         const service_t *service =
             route_config_service(f->config, endpoint->service);
         if (service != NULL && service->connections > 0) {
-            /* At most half of them, however few instances there are. */
+            /* At most half of the service's connections, even with few
+             * instances. */
             limits.connections = MIN(
                 instance_count_share(&e->sharing_instances,
                                      service->connections, CONNECTIONS_MIN),
@@ -193,8 +197,9 @@
                                    http_exchange_body(f->exchange), &info);
 }
 
-/* Tells the others that an endpoint gets the prompt's shared part, unless it
- * is known to have it, and the part before it, unless some endpoint is. */
+/* Reports to the other instances that an endpoint receives the prompt's shared
+ * part, unless it is known to cache it, and the prefix part, unless any
+ * endpoint is known to cache that. */
 static void
 report_parts(const forward_t *f, const placement_t *placement,
              const placement_request_t *request)
@@ -212,7 +217,8 @@
     }
 }
 
-/* Tells the owners of limits what this request wants of them. */
+/* Records the request's demand at limited endpoints, which the limits' owners
+ * receive. */
 static void
 record_limit_demand(const forward_t *f, const placement_t *placement)
 {
--- a/carobloomd/gateway/forward_state.h
+++ b/carobloomd/gateway/forward_state.h
@@ -1,10 +1,10 @@
-/* Private to the requests of the entry task: one request, shared by the files
- * that carry it.
+/* Private to request forwarding: the state of one request, shared by the files
+ * that handle it.
  *
- * forward.c         admission, time, the final answer
- * forward_send.c    placement, sending, repeating
- * forward_answer.c  what the endpoint answers
- * forward_runs.c    which request it is, and what its runs tell */
+ * forward.c         admission, timers, answer to the caller
+ * forward_send.c    placement, sending and repeating
+ * forward_answer.c  the endpoint's answer
+ * forward_runs.c    fingerprint, and runs for crash detection */
 #ifndef CAROBLOOMD_GATEWAY_FORWARD_STATE_H
 #define CAROBLOOMD_GATEWAY_FORWARD_STATE_H
 
@@ -14,106 +14,124 @@
 
 enum { ENDPOINT_NAME_MAX = 64 };
 
-/* One request of a caller, until it is answered. */
+/* A request of a caller, from its arrival until it is answered. */
 typedef struct {
     entry_t *entry;
     http_exchange_t *exchange;
-    route_config_t *config; /* the version it started with */
+    route_config_t *config; /* version in force at its arrival */
     const route_t *route;
-    const team_t *team; /* NULL: none is needed */
+    const team_t *team; /* NULL: the route needs no key */
     const char *service;
     service_state_t *service_state;
     request_info_t info;
-    guint64 fingerprint; /* 0: not worked out yet */
-    const quarantined_request_t
-        *quarantined;  /* as it is refused: it is held back */
-    gboolean is_probe; /* its last send */
+    guint64 fingerprint; /* 0: not computed yet */
+    /* set when the request is refused as quarantined */
+    const quarantined_request_t *quarantined;
+    gboolean is_probe; /* the last send probes a quarantined request */
     gint64 started_us;
-    gint64 deadline_us; /* it is answered by then */
+    gint64 deadline_us; /* deadline for the answer */
     guint64 timer;
-    /* where it runs */
+    /* the endpoint that runs the request */
     endpoint_t *endpoint;
-    char last_endpoint[ENDPOINT_NAME_MAX]; /* its id, for the log */
+    char last_endpoint[ENDPOINT_NAME_MAX]; /* endpoint id, for the log */
     client_call_t *call;
     gint64 sent_us;
-    gint64 limit_sent_us;  /* the same, by the clock of limits */
-    gint64 last_silent_us; /* when it was silent last and no other took it */
-    guint waiting_tokens;  /* that it added to the endpoint's */
-    /* when it was sent: what all instances' requests took of the endpoint */
+    gint64 limit_sent_us; /* the same time on the clock of limits */
+    /* when the endpoint was last silent and no other could take over */
+    gint64 last_silent_us;
+    /* of this request, in the endpoint's count of waiting tokens */
+    guint waiting_tokens;
+    /* load of the endpoint by the requests of all instances, at the time of
+     * the send */
     guint running_at_send;
-    guint waiting_tokens_at_send;   /* tokens */
-    gboolean run_counted;           /* that it began to run */
-    gboolean event_received;        /* an event came from this endpoint */
-    gint64 endpoint_first_event_us; /* the first of them */
+    guint waiting_tokens_at_send;
+    gboolean run_counted;           /* the request was counted as run */
+    gboolean event_received;        /* the current endpoint sent an event */
+    gint64 endpoint_first_event_us; /* time of its first event */
     const endpoint_t *tried[PLACEMENT_TRIED_MAX];
     guint sends;
-    guint runs;                          /* sends that may have run */
-    guint refusals;                      /* sends that an endpoint refused */
-    placement_counts_t placement_counts; /* when none took it: why */
+    guint runs;     /* sends that may have been executed */
+    guint refusals; /* sends that an endpoint refused without executing them */
+    /* why no endpoint could take the request */
+    placement_counts_t placement_counts;
     /* the answer */
     guint status;
     gboolean not_run;
-    gboolean streaming; /* events; passed on as they come */
-    gboolean head_sent; /* its head went to the caller */
+    gboolean streaming; /* an event stream, forwarded as it arrives */
+    gboolean head_sent; /* the answer's head was sent to the caller */
     GString *fields;
     GByteArray *body;
     event_stream_t events;
     gboolean has_event;
     guint64 last_event;
-    gint64 last_byte_us; /* the last byte of the answer */
+    gint64 last_byte_us; /* when the last byte of the answer arrived */
     gint64 first_output_us;
-    gint64 last_event_us;    /* the last event that went on */
-    gint64 longest_pause_us; /* the longest pause between two of them */
+    gint64 last_event_us;    /* when the last event was forwarded */
+    gint64 longest_pause_us; /* longest pause between two forwarded events */
     gboolean paused;
 } forward_t;
 
 /* forward.c */
 gint64 forward_now(const forward_t *f);
-/* The endpoint's answer, whole, goes to the caller. */
+/* Sends the buffered answer of the endpoint to the caller. Frees the
+ * request. */
 void forward_deliver(forward_t *f);
-/* The stream that was begun is complete. */
+/* Completes the caller's stream. Frees the request. */
 void forward_finish(forward_t *f);
-/* Gives up: what is said depends on whether it may have run. */
+/* Ends the request with an error and frees it. The status tells whether the
+ * request may have been executed. */
 void forward_fail(forward_t *f, const char *reason);
-/* Sets the time at which something is to be done next. */
+/* Sets the timer for the deadline or the silence timeout, whichever is
+ * first. */
 void forward_set_timer(forward_t *f);
-/* Its prompt is read: it no longer counts as waiting at its endpoint. */
+/* The endpoint has read the prompt: the request's tokens no longer count as
+ * waiting there. */
 void forward_end_prefill(forward_t *f);
-/* Takes it off its endpoint; the call is over or cancelled. */
+/* Removes the request from its endpoint's counts. The call must be complete or
+ * cancelled. */
 void forward_detach_endpoint(forward_t *f);
 
-/* It began to run at an endpoint; counted once. */
+/* Counts the request for usage reports when it begins to run, once per
+ * request. */
 void forward_count_run(forward_t *f);
-/* Its endpoint had it, but how far it came is not known: it counts as begun
- * when it should have begun by now. A prompt in a queue has not. */
+/* Handles a call that ended after the endpoint received the request but before
+ * the run was known to begin. Counts the request as run if its first event was
+ * due by now; a prompt that was still queued was not run. */
 void forward_count_interrupted_run(forward_t *f);
 
 /* forward_runs.c */
-/* Which request it is, whatever its id; worked out when first asked for. */
+/* Returns a fingerprint of the request that does not depend on its id.
+ * Computed on first use. */
 guint64 forward_fingerprint(forward_t *f);
-/* A field of the log line that is being written. */
+/* Adds the fingerprint to the log line that is being written. */
 void forward_log_fingerprint(forward_t *f);
-/* Whether it is held back, since endpoints end under it. */
+/* Whether the request is quarantined because endpoints crash while they run
+ * it. May make this send a probe, which is not refused. */
 gboolean forward_is_quarantined(forward_t *f);
-/* Bytes of its endpoint came. */
+/* Records that bytes arrived from the endpoint. */
 void forward_record_bytes(forward_t *f);
-/* Its endpoint answered it whole. */
+/* Records that an endpoint answered the request completely. */
 void forward_record_answered(forward_t *f);
-/* The call failed: whether the endpoint ended is found out later. */
+/* Records a failed call. Whether the endpoint crashed is determined later. */
 void forward_record_failure(forward_t *f, call_failure_t failure);
-/* It is given up while it may run at its endpoint. */
+/* Records that the request is abandoned while it may be running at its
+ * endpoint. */
 void forward_record_abandoned(forward_t *f);
 
 /* forward_send.c */
 void forward_send(forward_t *f);
-/* Sends it to another endpoint if that is allowed. `arrived` tells whether the
- * last one got it, so that one more counts as a repeat. */
+/* Sends the request to another endpoint if that is allowed. `received` says
+ * whether the previous endpoint received the request; if so, the new send
+ * counts against the repeat budget. Returns FALSE if the request was not
+ * sent. */
 gboolean forward_try_repeat(forward_t *f, gboolean received,
                             const char *reason);
-/* The same, and ends it where it is not allowed. */
+/* Like forward_try_repeat, but ends the request with an error if it can't be
+ * repeated. */
 void forward_repeat(forward_t *f, gboolean received, const char *reason);
-/* Leaves an endpoint that is silent for one that takes the request; stays
- * where there is none, since the silent one may still answer. */
+/* Sends the request of a silent endpoint to another endpoint. If no other
+ * endpoint can take it, the request stays, since the silent endpoint may still
+ * answer. */
 void forward_handle_silence(forward_t *f);
 
 /* forward_answer.c */
--- a/carobloomd/gateway/gateway.c
+++ b/carobloomd/gateway/gateway.c
@@ -21,14 +21,14 @@
     EXIT_START = 4,
     MAILBOX_MAX = 10000,
     DRAIN_POLL_MS = 50,
-    SETTINGS_POLL_S = 2, /* for a change of the file without a signal */
-    TRAFFIC_LOG_S = 5,   /* between two lines with the bytes that calls took */
+    SETTINGS_POLL_S = 2, /* interval of checks whether the file changed */
+    TRAFFIC_LOG_S = 5,   /* interval of log lines with the bytes of calls */
 };
 
 typedef struct {
     const char *path;
-    gint64 file_mtime_ns; /* of the settings in force, ns */
-    GPtrArray *settings;  /* all that were in force; the last is */
+    gint64 file_mtime_ns; /* of the settings file in force */
+    GPtrArray *settings;  /* all that were in force; the last is now */
     GMainLoop *loop;
     task_t *task;
     poller_t *poller;
@@ -141,7 +141,8 @@
     return settings;
 }
 
-/* Takes changed settings; with faults the old ones stay in force. */
+/* Reads the settings again and applies them. With faults the old settings stay
+ * in force. */
 static void
 reload(gateway_t *g, const char *cause)
 {
@@ -239,7 +240,7 @@
     return G_SOURCE_CONTINUE;
 }
 
-/* ---- life ---- */
+/* ---- lifecycle ---- */
 
 static gboolean
 gateway_start(gateway_t *g, const gateway_settings_t *s)
--- a/carobloomd/gateway/inner_line.c
+++ b/carobloomd/gateway/inner_line.c
@@ -10,14 +10,14 @@
     char *address;
     http_peer_t *peer;
     client_call_t *call;
-    guint64 timer; /* 0: no call is under way */
+    guint64 timer; /* 0: no call is in flight */
     guint status;
     guint held_ms;
     GByteArray *body;
-    gboolean progress; /* bytes came since the timer was set */
+    gboolean progress; /* bytes arrived since the timer was set */
 };
 
-/* The call is over; `body` is empty for the next. */
+/* Ends the call. `body` is emptied before the next one. */
 static void
 line_end(inner_line_t *line)
 {
@@ -95,7 +95,7 @@
 on_failed(client_call_t *call, call_failure_t failure, void *user)
 {
     (void)call;
-    (void)failure; /* however it failed, the owner asks again */
+    (void)failure; /* the owner retries after any failure */
     line_fail(user);
 }
 
--- a/carobloomd/gateway/settings.c
+++ b/carobloomd/gateway/settings.c
@@ -112,15 +112,15 @@
 {
     duty_set_t duties;
     if (platform_duties_decode(s->duties, &duties) != PLATFORM_OK) {
-        faults_add(faults, "gateway", "duties", "one of them is not known");
+        faults_add(faults, "gateway", "duties", "contains an unknown duty");
     }
     if (duties.any && (s->platform == NULL || *s->platform == '\0')) {
         faults_add(faults, "gateway", "platform",
-                   "is required where there are duties");
+                   "is required when duties are set");
     }
 }
 
-/* What the tables can not say. */
+/* Checks what depends on more than one setting. */
 static void
 check_combinations(const gateway_settings_t *s, GPtrArray *faults)
 {
@@ -143,8 +143,8 @@
     if (!s->trusted_network && s->address != NULL &&
         !g_str_has_prefix(s->address, "127.")) {
         faults_add(faults, "gateway", "trusted_network",
-                   "must be true beyond loopback: instances talk in plain "
-                   "text");
+                   "must be true when the address is not loopback: "
+                   "instances communicate unencrypted");
     }
 }
 
--- a/include/carobloom/gateway/entry.h
+++ b/include/carobloom/gateway/entry.h
@@ -1,4 +1,4 @@
-/* The entry task of an instance: callers' requests to endpoints. */
+/* The entry role of an instance: forwards callers' requests to endpoints. */
 #ifndef CAROBLOOM_GATEWAY_ENTRY_H
 #define CAROBLOOM_GATEWAY_ENTRY_H
 
@@ -8,21 +8,24 @@
 
 typedef struct entry entry_t;
 
-/* Listens and starts asking the control instances for news. NULL with the
- * fault logged. */
+/* Opens the listeners and starts to poll the control instances for updates.
+ * Returns NULL with the error logged. */
 entry_t *entry_create(const gateway_settings_t *settings, task_t *task,
                       poller_t *poller);
 void entry_destroy(entry_t *entry);
-/* Takes new settings (seeds and bounds); the old ones may go after it. */
+/* Applies new settings (seeds and bounds). The old settings may be freed
+ * afterwards. */
 void entry_reload(entry_t *entry, const gateway_settings_t *settings);
-/* SIGTERM: no longer ready. Once the balancer had time to notice, entry_idle,
- * asked again and again, refuses what still comes, and is TRUE when the last
- * request is answered. */
+/* Handles SIGTERM: the instance reports that it is not ready, so that the
+ * balancer sends callers elsewhere. entry_idle is polled from then on; once
+ * the balancer had time to notice, it refuses new requests, and it returns
+ * TRUE when the last request is answered or the grace period is almost
+ * over. */
 void entry_drain(entry_t *entry);
 gboolean entry_idle(entry_t *entry);
-/* State as text, for the dump; freed with g_free. */
+/* Returns the state as text for the dump; freed with g_free. */
 char *entry_dump(const entry_t *entry);
-/* The endpoints that it knows, as JSON; freed with g_free. */
+/* Returns the known endpoints as JSON; freed with g_free. */
 char *entry_endpoints(const entry_t *entry);
 
 #endif
--- a/include/carobloom/gateway/inner_line.h
+++ b/include/carobloom/gateway/inner_line.h
@@ -1,20 +1,23 @@
-/* A line to another instance: one call at a time, its answer taken whole. */
+/* Connection to another instance that carries one call at a time and passes on
+ * complete answers. */
 #ifndef CAROBLOOM_GATEWAY_INNER_LINE_H
 #define CAROBLOOM_GATEWAY_INNER_LINE_H
 
 #include "carobloom/gateway/traffic.h"
 
-/* Of an answer: milliseconds between the question and it. */
+/* Field of an answer: milliseconds between the receipt of the request and the
+ * answer. */
 #define HELD_FIELD "Held-Ms"
 
 typedef struct inner_line inner_line_t;
 
-/* How a call ended; exactly one of them is called for each. Another may be
- * made from within, but on a connection of its own: the one used is free only
- * afterwards. The line must not be destroyed within. */
+/* Callbacks for the end of a call; exactly one of them is called for each
+ * call. They may make the next call, which opens a connection of its own,
+ * since the current one becomes free only afterwards. They must not destroy
+ * the line. */
 typedef struct {
     void (*answered)(void *user, guint status, GBytes *body);
-    /* It broke off, took too long, or its answer was over the bound. */
+    /* The call broke off or timed out, or its answer was too long. */
     void (*failed)(void *user);
 } inner_line_ops_t;
 
@@ -23,8 +26,9 @@
     timers_t *timers;
     http_peer_limits_t peer;
     gsize answer_max; /* bytes */
-    /* Bytes that came give a late answer so much more time: a long one over a
-     * narrow link. 0: it has only the time of its call. */
+    /* A call that times out gets this much more time if bytes arrived since
+     * the last timeout, for a long answer over a slow link. 0: no
+     * extension. */
     gint64 progress_us;
     const inner_line_ops_t *ops;
     void *user;
@@ -32,18 +36,19 @@
     traffic_kind_t kind;
 } inner_line_setup_t;
 
-/* NULL unless `address` is IP:PORT. */
+/* Returns NULL unless `address` is IP:PORT. */
 inner_line_t *inner_line_create(const inner_line_setup_t *setup,
                                 const char *address);
-/* Ends a call under way without a word. */
+/* Cancels a call in flight without a callback. */
 void inner_line_destroy(inner_line_t *line);
 void inner_line_set_progress(inner_line_t *line, gint64 progress_us);
-/* For how long the question was held before its answer was written, as the
- * other says; for `answered`. */
+/* For how long the other instance held the request before it answered, by its
+ * own account. Valid in `answered`. */
 guint inner_line_held_ms(const inner_line_t *line);
 gboolean inner_line_is_busy(const inner_line_t *line);
-/* Posts `body`, to be answered within `wait_us`. FALSE when no connection can
- * be had; `failed` is not called then. Not while it is busy. */
+/* Posts `body`, to be answered within `wait_us`. Returns FALSE if no
+ * connection is available; `failed` is not called then. The line must not be
+ * busy. */
 gboolean inner_line_post(inner_line_t *line, const char *path, GBytes *body,
                          gint64 wait_us);
 
--- a/include/carobloom/gateway/metrics.h
+++ b/include/carobloom/gateway/metrics.h
@@ -1,16 +1,18 @@
-/* The counters and latency histograms over HTTP, and pages of the state. */
+/* HTTP listener for counters, latency histograms and pages that show the
+ * state. */
 #ifndef CAROBLOOM_GATEWAY_METRICS_H
 #define CAROBLOOM_GATEWAY_METRICS_H
 
 #include "carobloom/http/server.h"
 
-/* A page beside /metrics. */
+/* A page served next to /metrics. */
 typedef struct {
     const char *path;
-    char *(*text)(void *user); /* freed with g_free; NULL: there is none */
+    char *(*text)(void *user); /* freed with g_free; NULL: no such page */
 } metrics_page_t;
 
-/* Answers GET of /metrics and of each page. */
+/* The pages that are served next to /metrics, and the argument of their
+ * `text`. */
 typedef struct {
     const metrics_page_t *pages;
     gsize page_count;
