--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -69,9 +69,9 @@
 }
 
 void
-entry_record_confirmation(entry_t *e, gint64 requested_us)
+entry_record_confirmation(entry_t *e, gint64 written_us)
 {
-    e->confirmed_us = MAX(e->confirmed_us, requested_us);
+    e->confirmed_us = MAX(e->confirmed_us, written_us);
 }
 
 gsize
--- a/carobloomd/gateway/entry_state.h
+++ b/carobloomd/gateway/entry_state.h
@@ -105,9 +105,9 @@
 gint64 entry_config_age_ms(const entry_t *entry);
 /* Puts a configuration in force. Returns FALSE if it can't be decoded. */
 gboolean entry_apply_config(entry_t *entry, guint64 version, GBytes *text);
-/* Records that the configuration in force was confirmed to be the newest by
- * the answer to a request sent at `requested_us` (clock_boot_us). */
-void entry_record_confirmation(entry_t *entry, gint64 requested_us);
+/* Records that the configuration in force was known to be the newest at
+ * `written_us` (clock_boot_us), when a control instance wrote its answer. */
+void entry_record_confirmation(entry_t *entry, gint64 written_us);
 gint64 entry_now(const entry_t *entry);
 service_state_t *entry_service_state(entry_t *entry, const char *service);
 repeat_limits_t entry_repeat_limits(const entry_t *entry);
--- a/carobloomd/gateway/gateway.c
+++ b/carobloomd/gateway/gateway.c
@@ -21,7 +21,7 @@
     EXIT_START = 4,
     MAILBOX_MAX = 10000,
     DRAIN_POLL_MS = 50,
-    SETTINGS_POLL_S = 2, /* interval of checks whether the file changed */
+    SETTINGS_POLL_S = 2, /* checks for a changed file, without SIGHUP */
     TRAFFIC_LOG_S = 5,   /* interval of log lines with the bytes of calls */
 };
 
--- a/include/carobloom/gateway/metrics.h
+++ b/include/carobloom/gateway/metrics.h
@@ -11,7 +11,7 @@
     char *(*text)(void *user); /* freed with g_free; NULL: no such page */
 } metrics_page_t;
 
-/* The pages that are served next to /metrics, and the argument of their
+/* Pages that GET serves next to /metrics; `user` is the argument of their
  * `text`. */
 typedef struct {
     const metrics_page_t *pages;
--- a/include/carobloom/gateway/settings.h
+++ b/include/carobloom/gateway/settings.h
@@ -38,7 +38,7 @@
                          no bound */
     double retry_ratio; /* repeats per request, of all instances */
     double retry_window_s;
-    double retry_slack;    /* additional repeats */
+    double retry_slack;    /* additional repeats, beyond the ratio */
     double crash_memory_s; /* for how long a request that crashes endpoints is
                               quarantined */
     /* duties for the platform, see control/duties.h */
