--- a/tests/test_gateway.c
+++ b/tests/test_gateway.c
@@ -1,5 +1,5 @@
-/* The routing gateway as real processes: what clients, endpoints and the
- * operator see, under failure. */
+/* Tests of the routing gateway with real processes: what callers, endpoints
+ * and the operator observe under failures. */
 #include <signal.h>
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +16,8 @@
     return f;
 }
 
-/* Events as they should come, from `from` to `to`. */
+/* Whether the reply consists of the events `from` to `to`, each once and in
+ * order. */
 static gboolean
 is_stream(const reply_t *reply, int from, int to)
 {
@@ -36,9 +37,9 @@
     const char *target;
     const char *fields;
     guint status;
-    guint runs_least;
-    guint runs_most;
-    gboolean whole_stream;
+    guint min_runs;
+    guint max_runs;
+    gboolean complete_stream;
 } request_case_t;
 
 enum { EVENTS = 12, REPEATS = 6 };
@@ -78,27 +79,27 @@
 request_case(fleet_t *f, const request_case_t *c, int round)
 {
     char id[64];
-    static int made;
-    g_snprintf(id, sizeof(id), "request-%d-%d", made++, round);
+    static int request_count;
+    g_snprintf(id, sizeof(id), "request-%d-%d", request_count++, round);
     reply_t *reply = fleet_request(fleet_entry(f, (guint)round % 2), c->target,
                                    id, c->fields);
     guint runs = fleet_ran(f, "run", id);
-    gboolean right = reply->status == c->status && runs >= c->runs_least &&
-                     runs <= c->runs_most && reply->complete;
+    gboolean passed = reply->status == c->status && runs >= c->min_runs &&
+                      runs <= c->max_runs && reply->complete;
     if (c->status == 200) {
-        right = right && reply->sealed;
+        passed = passed && reply->sealed;
     }
-    if (c->whole_stream) {
-        right = right && is_stream(reply, 1, EVENTS);
+    if (c->complete_stream) {
+        passed = passed && is_stream(reply, 1, EVENTS);
     }
     else if (c->status == 200) {
-        right = right && strstr(reply->body->str, id) != NULL;
+        passed = passed && strstr(reply->body->str, id) != NULL;
     }
-    if (!right) {
+    if (!passed) {
         printf("%s: status %u, %u runs, complete %d: %s\n", c->name,
                reply->status, runs, reply->complete, reply->body->str);
     }
-    CU_ASSERT(right);
+    CU_ASSERT(passed);
     CU_ASSERT(c->status != 503 ||
               strstr(reply->fields, "Retry-After") != NULL);
     reply_free(reply);
@@ -112,12 +113,14 @@
         for (int round = 0; round < REPEATS; round++) {
             request_case(f, &REQUEST_CASES[i], round);
         }
-        fleet_sleep(300); /* endpoints that were left come back */
+        fleet_sleep(300); /* until endpoints that failed are used again */
     }
     fleet_destroy(f);
 }
 
-/* A stream that may not go on elsewhere does not look whole. */
+/* Guards against a broken stream that looks complete: on a route that isn't
+ * resumable the caller gets no end of the stream when the endpoint breaks
+ * off. */
 static void
 test_fragile_stream(void)
 {
@@ -135,10 +138,10 @@
     fleet_destroy(f);
 }
 
-/* A silent endpoint is left for another one only where there is one: its late
- * answer is better than none. */
+/* Guards against leaving a silent endpoint when no other can take the request:
+ * its late answer must still be delivered, from one run. */
 static void
-test_silent_alone(void)
+test_silent_single_endpoint(void)
 {
     fleet_t *f = fleet_of(1, 1, 1);
     for (int i = 0; i < 2; i++) {
@@ -154,13 +157,14 @@
     fleet_destroy(f);
 }
 
-/* Crash of an endpoint amid streams: those that may go on do. */
+/* A client of one stream, while an endpoint crashes, stops or drains:
+ * resumable streams must complete. */
 typedef struct {
     fleet_t *fleet;
     guint entry;
     int number;
     const char *prefix;
-    gboolean whole;
+    gboolean complete;
     guint status;
 } client_t;
 
@@ -173,20 +177,21 @@
     reply_t *reply =
         fleet_request(fleet_entry(c->fleet, c->entry), "/stream/1", id, "");
     c->status = reply->status;
-    c->whole = reply->complete && is_stream(reply, 1, EVENTS);
+    c->complete = reply->complete && is_stream(reply, 1, EVENTS);
     reply_free(reply);
     return NULL;
 }
 
 enum { CLIENTS = 24 };
 
-/* Runs streams at the entries and calls `during` halfway. */
+/* Runs CLIENTS streams at the entry instances and calls `during` while they
+ * are in flight. Returns the number of complete streams. */
 static guint
-streams_whole(fleet_t *f, const char *prefix, void (*during)(fleet_t *f))
+streams_completed(fleet_t *f, const char *prefix, void (*during)(fleet_t *f))
 {
     client_t clients[CLIENTS];
     GThread *threads[CLIENTS];
-    guint whole = 0;
+    guint complete = 0;
     for (int i = 0; i < CLIENTS; i++) {
         clients[i] = (client_t){.fleet = f,
                                 .entry = (guint)i % f->entries,
@@ -198,9 +203,9 @@
     during(f);
     for (int i = 0; i < CLIENTS; i++) {
         g_thread_join(threads[i]);
-        whole += clients[i].whole;
+        complete += clients[i].complete;
     }
-    return whole;
+    return complete;
 }
 
 static void
@@ -219,8 +224,8 @@
 test_endpoint_lost(void)
 {
     fleet_t *f = fleet_of(1, 2, 4);
-    CU_ASSERT_EQUAL(streams_whole(f, "killed", kill_endpoint), CLIENTS);
-    CU_ASSERT_EQUAL(streams_whole(f, "stopped", stop_endpoint), CLIENTS);
+    CU_ASSERT_EQUAL(streams_completed(f, "killed", kill_endpoint), CLIENTS);
+    CU_ASSERT_EQUAL(streams_completed(f, "stopped", stop_endpoint), CLIENTS);
     fleet_signal(fleet_endpoint(f, 1), SIGCONT);
     fleet_destroy(f);
 }
@@ -237,10 +242,10 @@
 test_entry_drains(void)
 {
     fleet_t *f = fleet_of(1, 2, 2);
-    CU_ASSERT_EQUAL(streams_whole(f, "drain", term_entry), CLIENTS);
+    CU_ASSERT_EQUAL(streams_completed(f, "drain", term_entry), CLIENTS);
     reply_t *reply =
         fleet_request(fleet_entry(f, 0), "/safe/1", "after-term", "");
-    /* It serves on until the balancer had time to notice. */
+    /* The instance serves until the balancer had time to notice. */
     CU_ASSERT_EQUAL(reply->status, 200);
     CU_ASSERT_PTR_NOT_NULL(strstr(reply->fields, "Connection: close"));
     reply_free(reply);
@@ -250,13 +255,14 @@
     fleet_destroy(f);
 }
 
-/* No work goes to an endpoint a moment after it was heard to drain. */
+/* Guards against sending requests to an endpoint that is known to drain: 200
+ * ms after its draining state was received, none may reach the endpoint. */
 static void
 test_endpoint_drains(void)
 {
     fleet_t *f = fleet_of(3, 2, 3);
-    fleet_process_t *leaver = fleet_endpoint(f, 1);
-    fleet_signal(leaver, SIGTERM);
+    fleet_process_t *draining = fleet_endpoint(f, 1);
+    fleet_signal(draining, SIGTERM);
     gint64 until = g_get_monotonic_time() + FLEET_WAIT_MS * 1000;
     while (fleet_ran(f, "draining-heard", "-") == 0 &&
            g_get_monotonic_time() < until) {
@@ -265,7 +271,7 @@
     fleet_sleep(200);
     char *before = NULL;
     char *after = NULL;
-    g_file_get_contents(leaver->log, &before, NULL, NULL);
+    g_file_get_contents(draining->log, &before, NULL, NULL);
     for (int i = 0; i < 30; i++) {
         char id[32];
         g_snprintf(id, sizeof(id), "drained-%d", i);
@@ -274,20 +280,20 @@
         CU_ASSERT_EQUAL(reply->status, 200);
         reply_free(reply);
     }
-    g_file_get_contents(leaver->log, &after, NULL, NULL);
+    g_file_get_contents(draining->log, &after, NULL, NULL);
     CU_ASSERT_PTR_NOT_NULL_FATAL(before);
     CU_ASSERT_STRING_EQUAL(before, after);
-    CU_ASSERT_EQUAL(fleet_wait_exit(leaver), 0);
+    CU_ASSERT_EQUAL(fleet_wait_exit(draining), 0);
     g_free(before);
     g_free(after);
     fleet_destroy(f);
 }
 
-/* ---- what endpoints say of themselves ---- */
+/* ---- heartbeats of endpoints ---- */
 
-/* Whether a request is served before the time is up. */
+/* Whether a request is served within `within_ms`. */
 static gboolean
-served_soon(const fleet_process_t *entry, int within_ms)
+wait_served(const fleet_process_t *entry, int within_ms)
 {
     gint64 until = g_get_monotonic_time() + within_ms * (gint64)1000;
     gboolean served = FALSE;
@@ -302,15 +308,16 @@
     return served;
 }
 
-/* An endpoint that starts again under its id, at another address and with
- * counts from 1, is heard at once, and still once it had left. */
+/* Guards against ignoring a new incarnation of an endpoint: it restarts under
+ * its id, at another address and with sequence numbers from 1, after a crash
+ * and after an orderly end. */
 static void
-test_endpoint_starts_again(void)
+test_endpoint_restarts(void)
 {
-    enum { HEARD_MS = 2000 };
+    enum { KNOWN_WITHIN_MS = 2000 };
     fleet_t *f = fleet_of(1, 1, 1);
     fleet_process_t *before = fleet_endpoint(f, 0);
-    fleet_sleep(1000); /* its counts go up */
+    fleet_sleep(1000); /* its sequence numbers grow */
     for (int left = 0; left < 2; left++) {
         fleet_process_t *after = fleet_add(f, FLEET_ENDPOINT);
         after->id = g_strdup_printf("%s.1", fleet_endpoint(f, 0)->name);
@@ -322,16 +329,17 @@
             fleet_kill(before);
         }
         fleet_start(f, after);
-        CU_ASSERT(served_soon(fleet_entry(f, 0), HEARD_MS));
+        CU_ASSERT(wait_served(fleet_entry(f, 0), KNOWN_WITHIN_MS));
         before = after;
     }
     fleet_destroy(f);
 }
 
-/* What another writer says under an endpoint's id, or at its address, is
- * refused, and the endpoint goes on. */
+/* Guards against forged heartbeats: what another writer sends under an
+ * endpoint's id, or under another id for its address, is refused, and the
+ * endpoint continues to serve. */
 static void
-test_other_writers(void)
+test_forged_heartbeats(void)
 {
     static const char *const BODIES[] = {
         "{\"Service\":\"a\"}",
@@ -361,7 +369,7 @@
         g_free(address);
         g_strfreev(pieces);
         fleet_sleep(100);
-        CU_ASSERT(served_soon(fleet_entry(f, 0), 200));
+        CU_ASSERT(wait_served(fleet_entry(f, 0), 200));
     }
     CU_ASSERT_EQUAL(
         fleet_counter(fleet_control(f, 0), "heartbeats_refused_total"),
@@ -370,9 +378,9 @@
     fleet_destroy(f);
 }
 
-/* ---- requests under way ---- */
+/* ---- requests in flight ---- */
 
-/* How long ago an entry instance was told of the others' requests, in ms. */
+/* Time since an entry instance received the loads of the others, in ms. */
 static guint64
 loads_age_ms(const fleet_process_t *entry)
 {
@@ -386,8 +394,9 @@
     return age;
 }
 
-/* Requests of others are known without a leader, and soon after the control
- * instance that one reported to is gone. */
+/* Guards against loads that depend on the leader: entry instances receive each
+ * other's loads without a leader, and soon after the control instance that
+ * collected them was killed. */
 static void
 test_loads_without_leader(void)
 {
@@ -409,8 +418,8 @@
     fleet_destroy(f);
 }
 
-/* The same where the control instance that is left stood still for a moment
- * before. */
+/* Like test_loads_without_leader, when the remaining control instance was
+ * stopped for a moment before. */
 static void
 test_loads_after_pause(void)
 {
@@ -430,7 +439,7 @@
     fleet_destroy(f);
 }
 
-/* ---- the configuration ---- */
+/* ---- configuration ---- */
 
 static guint
 leader_of(fleet_t *f)
@@ -448,12 +457,12 @@
     return f->controls;
 }
 
-/* Entry instances that ask the same get the same bytes: a control instance
- * that does not lead writes far fewer answers than it gives. */
+/* Guards against encoding the same update for each entry instance: a control
+ * instance that does not lead encodes far fewer answers than it sends. */
 static void
 test_answers_shared(void)
 {
-    enum { ENTRIES = 6, WATCHED_MS = 3000, SHARED_BY_LEAST = 3 };
+    enum { ENTRIES = 6, MEASURED_MS = 3000, MIN_ANSWERS_PER_WRITE = 3 };
     guint64 answers = 0;
     guint64 written = 0;
     fleet_t *f = fleet_of(3, ENTRIES, 3);
@@ -470,12 +479,12 @@
             break;
         }
         if (round == 0) {
-            fleet_sleep(WATCHED_MS);
+            fleet_sleep(MEASURED_MS);
         }
     }
     CU_ASSERT(answers >= ENTRIES * 2);
     CU_ASSERT(answers < G_MAXUINT32);
-    CU_ASSERT(written * SHARED_BY_LEAST <= answers);
+    CU_ASSERT(written * MIN_ANSWERS_PER_WRITE <= answers);
     fleet_destroy(f);
 }
 
@@ -506,7 +515,7 @@
 }
 
 static gboolean
-wait_read(fleet_t *f, guint64 version)
+wait_version_read(fleet_t *f, guint64 version)
 {
     gint64 until = g_get_monotonic_time() + FLEET_WAIT_MS * 1000;
     for (guint i = 0; g_get_monotonic_time() < until; i++) {
@@ -519,8 +528,9 @@
     return FALSE;
 }
 
-/* The leader is killed after each acknowledgement, and once loses its disk;
- * nothing acknowledged is lost or shown older. */
+/* Guards against the loss of acknowledged changes: the leader is killed after
+ * each acknowledgement, and once loses its disk. No instance may show an older
+ * version. */
 static void
 test_config_survives(void)
 {
@@ -535,23 +545,25 @@
             guint64 read = i == leader ? 0 : fleet_get(fleet_control(f, i));
             CU_ASSERT(read == 0 || read == version);
         }
-        CU_ASSERT(wait_read(f, version));
-        /* A resend is acknowledged again, and an older one changes nothing. */
+        CU_ASSERT(wait_version_read(f, version));
+        /* A resend is acknowledged again, and an older version changes
+         * nothing. */
         CU_ASSERT_EQUAL(put_version(f, version, 0), 200);
         CU_ASSERT_EQUAL(put_version(f, version - 1, 1), 200);
-        CU_ASSERT(wait_read(f, version));
+        CU_ASSERT(wait_version_read(f, version));
         if (version == 4) {
             fleet_lose_disk(fleet_control(f, leader));
         }
         fleet_start(f, fleet_control(f, leader));
         CU_ASSERT(wait_in_force(f, version));
-        fleet_sleep(1500); /* it catches up before the next one goes */
+        fleet_sleep(1500); /* it catches up before the next leader is killed */
     }
     fleet_destroy(f);
 }
 
-/* The leader's disk takes no more bytes: another leads, nothing acknowledged
- * is lost, and once there is room the voter counts again. */
+/* Guards against a leader that can't write: its disk takes no more bytes, so
+ * another instance must lead without losing acknowledged changes, and the
+ * voter counts again once there is space. */
 static void
 test_disk_full(void)
 {
@@ -563,7 +575,8 @@
     CU_ASSERT(wait_in_force(f, 3));
     CU_ASSERT(fleet_limit_files(fleet_control(f, full), RLIM_INFINITY));
     fleet_sleep(2500);
-    /* With one of the others gone there is a quorum only with this one. */
+    /* With one of the other two killed, the quorum needs the voter whose disk
+     * was full. */
     fleet_kill(fleet_control(f, (full + 1) % 3));
     CU_ASSERT_EQUAL(put_version(f, 4, full), 200);
     CU_ASSERT(wait_in_force(f, 4));
@@ -580,21 +593,23 @@
         fleet_kill(&f->processes[i]);
     }
     fleet_start_all(f);
-    CU_ASSERT(wait_read(f, 5));
+    CU_ASSERT(wait_version_read(f, 5));
     CU_ASSERT(wait_in_force(f, 5));
     fleet_destroy(f);
 }
 
-/* A control instance is replaced by an empty one at another address, more
- * than once; the quorum follows. */
+/* Guards against a quorum that counts dead members: a control instance is
+ * replaced by an empty one at another address, twice, and the voters must
+ * follow. */
 static void
-test_replaced(void)
+test_control_replaced(void)
 {
     fleet_t *f = fleet_of(3, 1, 1);
     for (guint round = 0; round < 2; round++) {
         fleet_process_t *gone = fleet_control(f, round);
         fleet_kill(gone);
-        /* The new one takes the place in the table, at a new address. */
+        /* The new instance uses the entry of the old one in the table, with a
+         * new address. */
         g_free(gone->ip);
         g_free(gone->bind);
         gone->ip = g_strdup_printf("127.%u.%u.%u", 16 + f->net / 250 % 200,
@@ -602,7 +617,8 @@
         gone->bind = g_strdup(gone->ip);
         fleet_lose_disk(gone);
         fleet_start(f, gone);
-        fleet_sleep(8000); /* taken in, and the old one taken out */
+        /* Until the new one is added to the voters and the old one removed. */
+        fleet_sleep(8000);
         CU_ASSERT_EQUAL(put_version(f, 10 + round, 2), 200);
         CU_ASSERT(wait_in_force(f, 10 + round));
     }
@@ -627,21 +643,22 @@
     CU_ASSERT_EQUAL(fleet_put(f, "{\"Version\":9,", 0), 400);
     CU_ASSERT_EQUAL(
         fleet_put(f, "{\"Version\":9,\"Routes\":[],\"Services\":7}", 1), 400);
-    CU_ASSERT(wait_read(f, 1));
+    CU_ASSERT(wait_version_read(f, 1));
     fleet_destroy(f);
 }
 
-/* Two operators with one version: one of both is in force, everywhere, and
- * stays so. */
+/* Guards against two configurations under one version: the first one stays in
+ * force on all instances, and a second one with the same version number
+ * changes nothing. */
 static void
-test_race(void)
+test_same_version(void)
 {
     fleet_t *f = fleet_of(3, 2, 1);
-    char *mine = fleet_config(7, "key-of-one");
-    char *theirs = fleet_config(7, "key-of-two");
-    CU_ASSERT_EQUAL(fleet_put(f, mine, 0), 200);
-    CU_ASSERT_EQUAL(fleet_put(f, theirs, 1), 200);
-    CU_ASSERT(wait_read(f, 7));
+    char *first_config = fleet_config(7, "key-of-one");
+    char *second_config = fleet_config(7, "key-of-two");
+    CU_ASSERT_EQUAL(fleet_put(f, first_config, 0), 200);
+    CU_ASSERT_EQUAL(fleet_put(f, second_config, 1), 200);
+    CU_ASSERT(wait_version_read(f, 7));
     fleet_sleep(500);
     for (guint i = 0; i < f->entries; i++) {
         reply_t *one = fleet_call(
@@ -657,15 +674,15 @@
         reply_free(one);
         reply_free(two);
     }
-    g_free(mine);
-    g_free(theirs);
+    g_free(first_config);
+    g_free(second_config);
     fleet_destroy(f);
 }
 
-/* A client that sends a request and reads nothing; NULL when there is no
- * connection. */
+/* Connects a client that sends a request and reads nothing. Returns NULL if
+ * the connection fails. */
 static GSocketConnection *
-silent_reader(const fleet_process_t *entry, const char *id)
+connect_silent_reader(const fleet_process_t *entry, const char *id)
 {
     GSocketClient *client = g_socket_client_new();
     GSocketConnection *connection = g_socket_client_connect_to_host(
@@ -686,9 +703,10 @@
     return connection;
 }
 
-/* Callers that read nothing of large answers: what is held for them stays
- * within the memory, new requests are refused as not run while it is full, and
- * served again when they are gone. */
+/* Guards against memory growth by callers that don't read large answers:
+ * buffered bytes stay within the memory limit, new requests are refused
+ * without running while the limit is reached, and served again when these
+ * callers are gone. */
 static void
 test_slow_readers(void)
 {
@@ -701,7 +719,7 @@
     for (guint i = 0; i < READERS; i++) {
         char id[32];
         g_snprintf(id, sizeof(id), "slow-%u", i);
-        readers[i] = silent_reader(entry, id);
+        readers[i] = connect_silent_reader(entry, id);
         CU_ASSERT_PTR_NOT_NULL(readers[i]);
         fleet_sleep(150);
     }
@@ -726,8 +744,9 @@
     fleet_destroy(f);
 }
 
-/* Without the control instances an entry serves on for a while, and then
- * refuses what needs a key: it may have been withdrawn. */
+/* Guards against accepting withdrawn keys: without control instances an entry
+ * instance serves for a while, and then refuses requests that need a key,
+ * since the key may have been withdrawn. */
 static void
 test_unconfirmed(void)
 {
@@ -750,7 +769,7 @@
     fleet_destroy(f);
 }
 
-/* Bytes that each role counts, of all that it calls for. */
+/* The kinds of messages for which each role counts bytes. */
 typedef struct {
     fleet_role_t role;
     const char *kind;
@@ -763,28 +782,30 @@
 };
 
 static guint64
-bytes_counted(const fleet_process_t *p, const char *way, const char *kind,
-              const char *reach)
+bytes_counted(const fleet_process_t *p, const char *direction,
+              const char *kind, const char *reach)
 {
-    char *name = g_strdup_printf(
-        "call_bytes_%s_total{kind=\"%s\",reach=\"%s\"}", way, kind, reach);
+    char *name =
+        g_strdup_printf("call_bytes_%s_total{kind=\"%s\",reach=\"%s\"}",
+                        direction, kind, reach);
     guint64 bytes = fleet_counter(p, name);
     g_free(name);
     return bytes;
 }
 
-/* No process told which messages its bytes were. */
+/* Guards against bytes that are counted for no kind of message, or as sent to
+ * another data centre. */
 static void
 test_traffic(void)
 {
-    enum { CALLS = 5, SETTLED_MS = 1500 };
+    enum { CALLS = 5, SETTLE_MS = 1500 };
     fleet_t *f = fleet_create(3, 2, 1);
     CU_ASSERT_FATAL(fleet_up(f, 1));
     for (guint i = 0; i < CALLS; i++) {
         reply_free(fleet_post(fleet_entry(f, 0), "/safe/x", "counted",
                               FLEET_KEY, "", "x"));
     }
-    fleet_sleep(SETTLED_MS);
+    fleet_sleep(SETTLE_MS);
     for (gsize i = 0; i < G_N_ELEMENTS(TRAFFIC_CASES); i++) {
         const traffic_case_t *c = &TRAFFIC_CASES[i];
         const fleet_process_t *p =
@@ -805,21 +826,21 @@
 static const test_case_t CASES[] = {
     {"requests and faulty endpoints", test_requests},
     {"a stream that may not go on", test_fragile_stream},
-    {"a silent endpoint without another", test_silent_alone},
+    {"a silent endpoint without another", test_silent_single_endpoint},
     {"endpoints lost amid streams", test_endpoint_lost},
     {"an entry instance drains", test_entry_drains},
     {"an endpoint drains", test_endpoint_drains},
-    {"an endpoint starts again under its id", test_endpoint_starts_again},
-    {"other writers name no endpoint", test_other_writers},
+    {"an endpoint starts again under its id", test_endpoint_restarts},
+    {"other writers name no endpoint", test_forged_heartbeats},
     {"loads without a leader", test_loads_without_leader},
     {"loads after a pause", test_loads_after_pause},
     {"entry instances share answers", test_answers_shared},
     {"acknowledged changes survive", test_config_survives},
     {"a disk that takes no more", test_disk_full},
     {"all processes killed at once", test_all_killed},
-    {"a control instance is replaced", test_replaced},
+    {"a control instance is replaced", test_control_replaced},
     {"what is invalid is refused", test_invalid_refused},
-    {"two operators, one version", test_race},
+    {"two operators, one version", test_same_version},
     {"callers that do not read", test_slow_readers},
     {"no word from control", test_unconfirmed},
     {"bytes are counted by kind of message", test_traffic},
