--- a/carobloomd/gateway/settings.c
+++ b/carobloomd/gateway/settings.c
@@ -144,7 +144,7 @@
         !g_str_has_prefix(s->address, "127.")) {
         faults_add(faults, "gateway", "trusted_network",
                    "must be true when the address is not loopback: "
-                   "instances communicate unencrypted");
+                   "instances communicate in plain text");
     }
 }
 
--- a/include/carobloom/gateway/settings.h
+++ b/include/carobloom/gateway/settings.h
@@ -26,7 +26,7 @@
     char *probe;   /* IP:PORT of the balancer's probes */
     char *control; /* IP:PORT; empty on an entry instance */
     char *metrics; /* IP:PORT */
-    gboolean trusted_network; /* instances communicate unencrypted */
+    gboolean trusted_network; /* instances communicate in plain text */
     gboolean founding;        /* the whole site starts for the first time */
     gint64 peers_port;        /* the same on all instances */
     char **seeds;             /* IP:PORT of control listeners */
