--- a/bench/gateway.c
+++ b/bench/gateway.c
@@ -213,7 +213,7 @@
         endpoint_load_t load = {.endpoint = i * 1000003, .running = 3};
         g_array_append_val(loads, load);
     }
-    load_answer_t sums = {.ask_ms = 200, .loads = loads};
+    load_answer_t sums = {.report_interval_ms = 200, .loads = loads};
     GBytes *told = load_answer_write(&sums);
     GArray *own = g_array_copy(loads);
     g_array_set_size(own, OWN);
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -52,7 +52,7 @@
     guint64 asked_version;
     guint64 version;
     guint32 entries;
-    guint32 takes_config;
+    guint32 wants_config;
     guint32 full;
     guint32 confirmed;
 } answer_key_t;
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -102,8 +102,8 @@
         return;
     }
     d->clock_told_us = now;
-    clock_word_t word = {.from = c->self, .wall_us = g_get_real_time()};
-    GBytes *bytes = clock_word_write(&word);
+    clock_report_t word = {.from = c->self, .wall_us = g_get_real_time()};
+    GBytes *bytes = clock_report_write(&word);
     for (guint i = 0; i < c->view.voters.count; i++) {
         const char *name = c->view.voters.members[i].name;
         if (g_strcmp0(name, c->self) != 0) {
@@ -117,9 +117,9 @@
 void
 handle_clock(control_t *c, http_exchange_t *exchange)
 {
-    clock_word_t word;
+    clock_report_t word;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = clock_word_read(bytes, &word);
+    gboolean sound = clock_report_read(bytes, &word);
     g_bytes_unref(bytes);
     if (!sound) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
@@ -129,7 +129,7 @@
         site_clock_record(c->duties->clock, word.from, word.wall_us,
                           clock_boot_us());
     }
-    clock_word_clear(&word);
+    clock_report_clear(&word);
     http_exchange_answer(exchange, 204, STR(""), STR(""));
 }
 
@@ -140,9 +140,9 @@
 {
     usage_answer_t answer = {
         .wall_us = duties_wall_us(d),
-        .fixed_through =
+        .last_finalized =
             d->usage != NULL ? usage_duty_fixed_through(d->usage) : 0,
-        .ask_ms =
+        .report_interval_ms =
             MAX(ASK_LEAST_MS, entries_fresh(d->control) * ASK_MS_AN_ENTRY),
     };
     GBytes *bytes = usage_answer_write(&answer);
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -74,7 +74,7 @@
 {
     const kept_text_t *now = control_newest(c);
     answer->version = control_newest_version(c);
-    if (now == NULL || !request->takes_config ||
+    if (now == NULL || !request->wants_config ||
         answer->version <= request->version) {
         return;
     }
@@ -119,14 +119,14 @@
     return (answer_key_t){
         .since = full ? 0 : request->cursor,
         .published = c->published,
-        .held_since = full ? 0 : request->held_cursor,
+        .held_since = full ? 0 : request->quarantine_cursor,
         .held = crash_ledger_cursor(c->crashes),
         .limits_since = full ? 0 : request->limit_cursor,
         .limits = limit_quota_cursor(c->limits),
         .asked_version = request->version,
         .version = control_newest_version(c),
         .entries = collector_entries_rounded(entries_fresh(c)),
-        .takes_config = (guint32)request->takes_config,
+        .wants_config = (guint32)request->wants_config,
         .full = (guint32)full,
         .confirmed = (guint32)control_may_read(c),
     };
@@ -190,10 +190,10 @@
                         (gpointer)c->view.voters.members[i].name);
     }
     fill_config(c, request, &answer);
-    answer.held_cursor = full ? 0 : request->held_cursor;
-    answer.held = crash_ledger_orders_since(c->crashes, &answer.held_cursor,
-                                            ORDERS_MOST, control_now(c));
-    choose_trials(c, answer.held);
+    answer.quarantine_cursor = full ? 0 : request->quarantine_cursor;
+    answer.quarantine_orders = crash_ledger_orders_since(
+        c->crashes, &answer.quarantine_cursor, ORDERS_MOST, control_now(c));
+    choose_trials(c, answer.quarantine_orders);
     answer.limit_cursor = full ? 0 : request->limit_cursor;
     answer.limits = limit_quota_changes_since(c->limits, &answer.limit_cursor,
                                               LIMITS_MOST);
@@ -229,7 +229,7 @@
 static gboolean
 has_config_news(const control_t *c, const sync_request_t *request)
 {
-    return request->takes_config &&
+    return request->wants_config &&
            request->version < control_newest_version(c);
 }
 
@@ -237,7 +237,7 @@
 has_news(const control_t *c, const sync_request_t *request)
 {
     return request->epoch != c->epoch || request->cursor != c->published ||
-           request->held_cursor != crash_ledger_cursor(c->crashes) ||
+           request->quarantine_cursor != crash_ledger_cursor(c->crashes) ||
            request->limit_cursor != limit_quota_cursor(c->limits) ||
            has_config_news(c, request);
 }
@@ -370,7 +370,7 @@
     gboolean news = has_news(c, &request);
     /* While endpoints come and go all the time there is always news: one that
      * was just answered waits for the next batch like the others. */
-    gboolean batched = news && !request.rest && request.epoch == c->epoch &&
+    gboolean batched = news && !request.more && request.epoch == c->epoch &&
                        !has_config_news(c, &request) && spread_pause(c) > 0;
     if ((news && !batched) || request.wait_ms == 0 || c->draining) {
         sync_answer(c, exchange, &request, 0);
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -87,13 +87,13 @@
                                .incarnation = report.incarnation,
                                .sequence = report.sequence};
     limit_answer_t answer = {
-        .ask_ms = collector_report_interval_ms(entries_fresh(c)),
+        .report_interval_ms = collector_report_interval_ms(entries_fresh(c)),
         .grants = g_array_new(FALSE, FALSE, sizeof(limit_grant_t)),
     };
     guint granted = 0;
-    for (guint i = 0; i < report.asks->len; i++) {
+    for (guint i = 0; i < report.requests->len; i++) {
         limit_grant_t grant = answer_ask(
-            c, &asker, &g_array_index(report.asks, limit_request_t, i));
+            c, &asker, &g_array_index(report.requests, limit_request_t, i));
         granted += grant.granted;
         g_array_append_val(answer.grants, grant);
     }
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -35,12 +35,12 @@
     part_feed_add(c->own_parts, report.parts);
     part_feed_add(c->parts, report.parts);
     load_answer_t answer = {
-        .ask_ms =
+        .report_interval_ms =
             collector_report_interval_ms(load_sum_reporters(c->own_loads)),
         .loads = load_sum_busiest(c->loads, now),
-        .heard = report.heard,
+        .parts_received = report.parts_received,
     };
-    answer.parts = part_feed_since(c->parts, &answer.heard);
+    answer.parts = part_feed_since(c->parts, &answer.parts_received);
     load_report_clear(&report);
     GBytes *answered = load_answer_write(&answer);
     load_answer_clear(&answer);
@@ -64,7 +64,7 @@
         load_sum_apply_changes(c->loads, sums.from, sums.loads, sums.sequence,
                                sums.base, control_now(c));
     part_feed_add(c->parts, sums.parts);
-    traffic_note_place(c->traffic, sums.from, sums.data_centre);
+    traffic_set_data_centre(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
     if (!taken) {
         answer_plain(exchange, 409, "{\"error\":\"its base is not known\"}");
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -139,7 +139,7 @@
         u->proposed = figures->window;
         u->proposed_us = now;
         log_window("usage_fixed", figures, 0);
-        propose(u, usage_fix_command(figures));
+        propose(u, usage_finalize_command(figures));
     }
     usage_window_free(figures);
 }
@@ -179,7 +179,7 @@
     u->retry_us = 0;
     u->told_through = window;
     counter_add(counter_get("usage_windows_told_total", NULL, FALSE), 1);
-    propose(u, usage_take_command(window));
+    propose(u, usage_accept_command(window));
 }
 
 static GString *
--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -14,15 +14,15 @@
     /* Over the time held: a round trip between regions and a busy instance,
      * the busier the more ask. One given up too soon asks again and makes it
      * busier still. */
-    ANSWER_US = 700 * MS,
-    ANSWER_US_AN_ENTRY = 5 * MS,
+    ANSWER_TIMEOUT_US = 700 * MS,
+    ANSWER_TIMEOUT_PER_ENTRY_US = 5 * MS,
     /* For a configuration to come from the leader before another is asked:
      * a hundred KB over 10 Mbit/s take a tenth of it. */
-    DELIVERY_US = 800 * MS,
-    RETRY_FIRST_US = 50 * MS,
-    RETRY_MOST_US = 800 * MS,
+    DELIVERY_TIMEOUT_US = 800 * MS,
+    RETRY_MIN_US = 50 * MS,
+    RETRY_MAX_US = 800 * MS,
     /* A control instance that neither answers nor is named is given up. */
-    FORGET_US = 30 * G_USEC_PER_SEC,
+    LOST_LIFETIME_US = 30 * G_USEC_PER_SEC,
     ANSWER_MAX = 64 * 1024 * 1024,
 };
 
@@ -39,22 +39,22 @@
     char *data_centre; /* as it says; NULL until then */
     guint source;      /* bit in the directory */
     inner_line_t *line;
-    guint64 timer;   /* of the next question */
-    gint64 asked_us; /* clock_boot_us of the question under way */
+    guint64 timer;    /* of the next question */
+    gint64 polled_us; /* clock_boot_us of the question under way */
     gint64 retry_us;
     gint64 answered_us; /* timers' clock; 0: never */
     gint64 named_us;    /* last named as a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
-    guint64 held_cursor;
+    guint64 quarantine_cursor;
     guint64 limit_cursor;
     gboolean more;  /* leases than its last answer had */
     gboolean leads; /* it confirmed the configuration */
 };
 
 static const inner_line_ops_t LINK_OPS;
-static void link_ask(control_link_t *link);
+static void link_poll(control_link_t *link);
 
 static void
 log_link(const control_link_t *link, const char *event)
@@ -69,11 +69,11 @@
 }
 
 static void
-link_retry(void *data)
+link_poll_due(void *data)
 {
     control_link_t *link = data;
     link->timer = 0;
-    link_ask(link);
+    link_poll(link);
 }
 
 static void
@@ -86,21 +86,22 @@
         link->lost = TRUE;
         log_link(link, "control_lost");
     }
-    link->retry_us = CLAMP(link->retry_us * 2, RETRY_FIRST_US, RETRY_MOST_US);
+    link->retry_us = CLAMP(link->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
     link->timer =
-        timers_subscribe(e->timers, link->retry_us, 0, link_retry, link);
+        timers_subscribe(e->timers, link->retry_us, 0, link_poll_due, link);
 }
 
 static gint64
-answer_us(const entry_t *e)
+answer_timeout_us(const entry_t *e)
 {
-    return ANSWER_US + e->entries * (gint64)ANSWER_US_AN_ENTRY;
+    return ANSWER_TIMEOUT_US +
+           e->entries * (gint64)ANSWER_TIMEOUT_PER_ENTRY_US;
 }
 
 /* ---- an answer ---- */
 
 static GBytes *
-new_text(const entry_t *e, const sync_answer_t *answer)
+updated_text(const entry_t *e, const sync_answer_t *answer)
 {
     if (answer->base == 0) {
         return text_delta_apply(STR(""), answer->delta);
@@ -112,14 +113,14 @@
 }
 
 static gboolean
-take_config(control_link_t *link, const sync_answer_t *answer)
+apply_config(control_link_t *link, const sync_answer_t *answer)
 {
     entry_t *e = link->entry;
     if (answer->delta == NULL ||
         (e->config != NULL && answer->version <= e->config->version)) {
         return TRUE;
     }
-    GBytes *text = new_text(e, answer);
+    GBytes *text = updated_text(e, answer);
     if (text == NULL) {
         return FALSE;
     }
@@ -192,7 +193,7 @@
         }
         g_ptr_array_add(e->links, link);
         link->named_us = entry_now(e);
-        link_ask(link);
+        link_poll(link);
     }
     if (link != NULL) {
         link->named_us = entry_now(e);
@@ -213,13 +214,13 @@
 }
 
 static void
-forget_silent(entry_t *e)
+expire_lost_links(entry_t *e)
 {
     gint64 now = entry_now(e);
     for (guint i = e->links->len; i > 0; i--) {
         control_link_t *link = e->links->pdata[i - 1];
-        if (link->lost && now - link->named_us > FORGET_US &&
-            now - link->answered_us > FORGET_US) {
+        if (link->lost && now - link->named_us > LOST_LIFETIME_US &&
+            now - link->answered_us > LOST_LIFETIME_US) {
             g_ptr_array_remove_index(e->links, i - 1);
             link_destroy(link);
         }
@@ -228,7 +229,7 @@
 
 /* Notes since when a newer version is known to be elsewhere. */
 static void
-note_version(entry_t *e, guint64 version)
+record_version(entry_t *e, guint64 version)
 {
     guint64 here = e->config != NULL ? e->config->version : 0;
     if (version > here && e->behind_us == 0) {
@@ -239,19 +240,19 @@
 /* When the answer was surely not written yet, by this instance's clock: the
  * question was held for a while after it was asked. */
 static gint64
-written_us(const control_link_t *link)
+earliest_written_us(const control_link_t *link)
 {
-    gint64 since_us = clock_boot_us() - link->asked_us;
+    gint64 since_us = clock_boot_us() - link->polled_us;
     gint64 held_us = inner_line_held_ms(link->line) * (gint64)MS;
-    return link->asked_us + CLAMP(held_us, 0, since_us);
+    return link->polled_us + CLAMP(held_us, 0, since_us);
 }
 
 static void
-take_answer(control_link_t *link, const sync_answer_t *answer)
+apply_answer(control_link_t *link, const sync_answer_t *answer)
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
-    note_version(e, answer->version);
+    record_version(e, answer->version);
     if (answer->full && link->epoch != answer->epoch) {
         directory_source_reset(e->directory, link->source, now);
     }
@@ -262,10 +263,11 @@
     link->epoch = answer->epoch;
     link->cursor = answer->cursor;
     link->more = answer->more;
-    link->held_cursor = answer->held_cursor;
+    link->quarantine_cursor = answer->quarantine_cursor;
     link->limit_cursor = answer->limit_cursor;
     crash_link_control(e->crash_link, link->address, answer->epoch);
-    crash_link_take_orders(e->crash_link, answer->held, link->address);
+    crash_link_take_orders(e->crash_link, answer->quarantine_orders,
+                           link->address);
     limit_link_take(e->limit_link, answer->limits, link->address);
     if (answer->confirmed) {
         limit_link_take_owners(e->limit_link, answer->controls);
@@ -273,18 +275,18 @@
     link->leads = answer->confirmed;
     g_free(link->data_centre);
     link->data_centre = g_strdup(answer->data_centre);
-    traffic_note_place(e->traffic, link->address, answer->data_centre);
-    gboolean sound = take_config(link, answer);
+    traffic_set_data_centre(e->traffic, link->address, answer->data_centre);
+    gboolean sound = apply_config(link, answer);
     if (sound && answer->confirmed && e->config != NULL &&
         e->config->version >= answer->version) {
-        entry_take_confirmation(e, written_us(link));
+        entry_take_confirmation(e, earliest_written_us(link));
     }
     e->entries = MAX(answer->entries, 1);
     instance_count_record(&e->sharers, e->entries, now);
     for (guint i = 0; i < answer->controls->len; i++) {
         link_add(e, answer->controls->pdata[i]);
     }
-    forget_silent(e);
+    expire_lost_links(e);
 }
 
 static void
@@ -304,10 +306,10 @@
     link->lost = FALSE;
     link->retry_us = 0;
     link->answered_us = entry_now(e);
-    take_answer(link, &answer);
+    apply_answer(link, &answer);
     sync_answer_clear(&answer);
     /* The connection is free again only after this call. */
-    link->timer = timers_subscribe(e->timers, 0, 0, link_retry, link);
+    link->timer = timers_subscribe(e->timers, 0, 0, link_poll_due, link);
 }
 
 static void
@@ -320,7 +322,7 @@
                                           .failed = on_failed};
 
 static gboolean
-any_leads(const entry_t *e)
+has_leader(const entry_t *e)
 {
     for (guint i = 0; i < e->links->len; i++) {
         if (((control_link_t *)e->links->pdata[i])->leads) {
@@ -334,20 +336,21 @@
  * them sending it at once fill a narrow link for seconds. When there is no
  * leader or it does not deliver, another is asked, one at a time. */
 static gboolean
-takes_config(const control_link_t *link)
+wants_config(const control_link_t *link)
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
-    gboolean late = e->behind_us != 0 && now - e->behind_us > DELIVERY_US;
-    if (any_leads(e) && !late) {
+    gboolean late =
+        e->behind_us != 0 && now - e->behind_us > DELIVERY_TIMEOUT_US;
+    if (has_leader(e) && !late) {
         return link->leads;
     }
-    guint turn = (guint)(now / DELIVERY_US);
+    guint turn = (guint)(now / DELIVERY_TIMEOUT_US);
     return link == e->links->pdata[turn % e->links->len] || link->leads;
 }
 
 static guint32
-wait_ms_of(const control_link_t *link)
+max_wait_ms(const control_link_t *link)
 {
     const entry_t *e = link->entry;
     sync_pace_t pace = {
@@ -361,7 +364,7 @@
 }
 
 static void
-link_ask(control_link_t *link)
+link_poll(control_link_t *link)
 {
     entry_t *e = link->entry;
     sync_request_t request = {
@@ -369,18 +372,19 @@
         .version = e->config != NULL ? e->config->version : 0,
         .epoch = link->epoch,
         .cursor = link->cursor,
-        .held_cursor = link->held_cursor,
+        .quarantine_cursor = link->quarantine_cursor,
         .limit_cursor = link->limit_cursor,
-        .wait_ms = wait_ms_of(link),
-        .takes_config = takes_config(link),
-        .rest = link->more,
+        .wait_ms = max_wait_ms(link),
+        .wants_config = wants_config(link),
+        .more = link->more,
     };
     GBytes *body = sync_request_write(&request);
-    link->asked_us = clock_boot_us();
+    link->polled_us = clock_boot_us();
     /* A long answer over a narrow link may take several times as long. */
-    inner_line_set_progress(link->line, answer_us(e));
-    gboolean posted = inner_line_post(link->line, SYNC_PATH, body,
-                                      request.wait_ms * MS + answer_us(e));
+    inner_line_set_progress(link->line, answer_timeout_us(e));
+    gboolean posted =
+        inner_line_post(link->line, SYNC_PATH, body,
+                        request.wait_ms * MS + answer_timeout_us(e));
     g_bytes_unref(body);
     if (!posted) {
         link_failed(link);
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -13,19 +13,19 @@
     /* Reports that are remembered, for control instances that start again
      * without what they were told: 128 requests each at most, 0.5 MB. Beyond
      * it the oldest give way. */
-    NOTES_MAX = 256,
+    RECORDS_MAX = 256,
     /* Between two reports to one control instance, of 8 KB at most: 40 KB a
      * second to each while endpoints end all the time. A report that comes
      * alone goes at once. */
-    PAUSE_US = 200 * MS,
+    REPORT_INTERVAL_US = 200 * MS,
     /* An answer that takes longer is not waited for; the report goes again. */
-    ANSWER_US = 700 * MS,
+    ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_MAX = 1024, /* bytes; it has no body */
-    RETRY_FIRST_US = 100 * MS,
-    RETRY_MOST_US = 800 * MS,
+    RETRY_MIN_US = 100 * MS,
+    RETRY_MAX_US = 800 * MS,
 };
 
-static const http_peer_limits_t SENDER_LIMITS = {
+static const http_peer_limits_t SENDER_PEER_LIMITS = {
     .connect_us = 600 * MS,
     .idle_us = 2 * G_USEC_PER_SEC,
     .idle_max = 1,
@@ -35,10 +35,10 @@
 /* What is to be told: an end, or a request that was answered. */
 typedef struct {
     guint64 number; /* in the order of telling, from 1 */
-    gint64 at_us;
+    gint64 recorded_us;
     endpoint_end_t end; /* `endpoint` is NULL in the other case */
     guint64 answered;
-} crash_note_t;
+} crash_record_t;
 
 /* What one control instance was told. */
 typedef struct {
@@ -46,67 +46,68 @@
     char *address;
     guint64 epoch; /* of its start */
     inner_line_t *line;
-    guint64 timer;   /* of the next report; 0: none waits */
-    guint64 told;    /* it has the notes up to here */
-    guint64 telling; /* those of the call under way */
+    guint64 timer;        /* of the next report; 0: none waits */
+    guint64 acknowledged; /* it has the notes up to here */
+    guint64 sending;      /* those of the call under way */
     gint64 retry_us;
 } crash_sender_t;
 
 struct crash_link {
     entry_t *entry;
-    GQueue notes; /* crash_note_t, the newest at the tail */
-    guint64 last; /* number of the newest */
+    GQueue records; /* crash_record_t, the newest at the tail */
+    guint64 last;   /* number of the newest */
     GHashTable *senders;
 };
 
 /* ---- notes ---- */
 
 static void
-note_free(gpointer data)
+record_free(gpointer data)
 {
-    crash_note_t *note = data;
-    endpoint_end_clear(&note->end);
-    g_free(note);
+    crash_record_t *record = data;
+    endpoint_end_clear(&record->end);
+    g_free(record);
 }
 
 static void
-drop_old_notes(crash_link_t *link)
+expire_records(crash_link_t *link)
 {
     entry_t *e = link->entry;
     gint64 oldest_us =
         entry_now(e) - (gint64)(e->settings->crash_memory_s * G_USEC_PER_SEC);
-    crash_note_t *note;
-    while ((note = g_queue_peek_head(&link->notes)) != NULL &&
-           (note->at_us < oldest_us || link->notes.length > NOTES_MAX)) {
-        note_free(g_queue_pop_head(&link->notes));
+    crash_record_t *record;
+    while ((record = g_queue_peek_head(&link->records)) != NULL &&
+           (record->recorded_us < oldest_us ||
+            link->records.length > RECORDS_MAX)) {
+        record_free(g_queue_pop_head(&link->records));
     }
 }
 
 static void
 fill_report(const crash_link_t *link, guint64 after, crash_report_t *report,
-            guint64 *upto)
+            guint64 *up_to)
 {
     guint runs = 0;
-    for (GList *i = link->notes.head; i != NULL; i = i->next) {
-        const crash_note_t *note = i->data;
-        if (note->number <= after) {
+    for (GList *i = link->records.head; i != NULL; i = i->next) {
+        const crash_record_t *record = i->data;
+        if (record->number <= after) {
             continue;
         }
-        runs += note->end.endpoint != NULL ? note->end.runs->len : 0;
-        if (report->ends->len == CRASH_REPORT_ENDS ||
-            report->answered->len == CRASH_REPORT_ANSWERED ||
-            (report->ends->len > 0 && runs > CRASH_REPORT_RUNS)) {
+        runs += record->end.endpoint != NULL ? record->end.runs->len : 0;
+        if (report->ends->len == CRASH_REPORT_ENDS_MAX ||
+            report->answered->len == CRASH_REPORT_ANSWERED_MAX ||
+            (report->ends->len > 0 && runs > CRASH_REPORT_RUNS_MAX)) {
             return;
         }
-        *upto = note->number;
-        if (note->end.endpoint == NULL) {
-            g_array_append_val(report->answered, note->answered);
+        *up_to = record->number;
+        if (record->end.endpoint == NULL) {
+            g_array_append_val(report->answered, record->answered);
             continue;
         }
         endpoint_end_t end;
-        endpoint_end_init(&end, note->end.endpoint, note->end.started_ms);
-        g_array_append_vals(end.runs, note->end.runs->data,
-                            note->end.runs->len);
+        endpoint_end_init(&end, record->end.endpoint, record->end.started_ms);
+        g_array_append_vals(end.runs, record->end.runs->data,
+                            record->end.runs->len);
         g_array_append_val(report->ends, end);
     }
 }
@@ -126,7 +127,7 @@
 static void
 sender_failed(crash_sender_t *s)
 {
-    s->retry_us = CLAMP(s->retry_us * 2, RETRY_FIRST_US, RETRY_MOST_US);
+    s->retry_us = CLAMP(s->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
     counter_add(counter_get("crash_reports_failed_total", NULL, FALSE), 1);
     sender_wait(s, s->retry_us);
 }
@@ -141,8 +142,8 @@
         return;
     }
     s->retry_us = 0;
-    s->told = MAX(s->told, s->telling);
-    sender_wait(s, PAUSE_US);
+    s->acknowledged = MAX(s->acknowledged, s->sending);
+    sender_wait(s, REPORT_INTERVAL_US);
 }
 
 static void
@@ -155,19 +156,20 @@
                                             .failed = on_failed};
 
 static void
-sender_tell(crash_sender_t *s)
+sender_report(crash_sender_t *s)
 {
     crash_report_t report;
     crash_report_init(&report);
-    s->telling = s->told;
-    fill_report(s->link, s->told, &report, &s->telling);
-    if (s->telling == s->told) {
+    s->sending = s->acknowledged;
+    fill_report(s->link, s->acknowledged, &report, &s->sending);
+    if (s->sending == s->acknowledged) {
         crash_report_clear(&report);
         return;
     }
     GBytes *body = crash_report_write(&report);
     crash_report_clear(&report);
-    gboolean posted = inner_line_post(s->line, CRASHES_PATH, body, ANSWER_US);
+    gboolean posted =
+        inner_line_post(s->line, CRASHES_PATH, body, ANSWER_TIMEOUT_US);
     g_bytes_unref(body);
     if (!posted) {
         sender_failed(s);
@@ -181,8 +183,8 @@
 {
     crash_sender_t *s = data;
     s->timer = 0;
-    drop_old_notes(s->link);
-    sender_tell(s);
+    expire_records(s->link);
+    sender_report(s);
 }
 
 /* A sender that waits for nothing tells at once; one that pauses, retries or
@@ -212,7 +214,7 @@
     crash_sender_t *s = g_new0(crash_sender_t, 1);
     inner_line_setup_t setup = {.poller = e->poller,
                                 .timers = e->timers,
-                                .peer = SENDER_LIMITS,
+                                .peer = SENDER_PEER_LIMITS,
                                 .answer_max = ANSWER_MAX,
                                 .ops = &SENDER_OPS,
                                 .user = s,
@@ -231,15 +233,15 @@
 
 /* ---- all of them ---- */
 
-static crash_note_t *
-note_add(crash_link_t *link)
+static crash_record_t *
+record_add(crash_link_t *link)
 {
-    crash_note_t *note = g_new0(crash_note_t, 1);
-    note->number = ++link->last;
-    note->at_us = entry_now(link->entry);
-    g_queue_push_tail(&link->notes, note);
-    drop_old_notes(link);
-    return note;
+    crash_record_t *record = g_new0(crash_record_t, 1);
+    record->number = ++link->last;
+    record->recorded_us = entry_now(link->entry);
+    g_queue_push_tail(&link->records, record);
+    expire_records(link);
+    return record;
 }
 
 static void
@@ -256,13 +258,13 @@
 void
 crash_link_ended(crash_link_t *link, const endpoint_end_t *end)
 {
-    crash_note_t *note = note_add(link);
-    endpoint_end_init(&note->end, end->endpoint, end->started_ms);
+    crash_record_t *record = record_add(link);
+    endpoint_end_init(&record->end, end->endpoint, end->started_ms);
     for (guint i = 0; i < end->runs->len; i++) {
         interrupted_run_t run = g_array_index(end->runs, interrupted_run_t, i);
-        endpoint_end_add(&note->end, run);
+        endpoint_end_add(&record->end, run);
         run_history_record_cut(&link->entry->history, run.fingerprint,
-                               note->at_us);
+                               record->recorded_us);
     }
     wake_all(link);
 }
@@ -270,7 +272,7 @@
 void
 crash_link_answered(crash_link_t *link, guint64 fingerprint)
 {
-    note_add(link)->answered = fingerprint;
+    record_add(link)->answered = fingerprint;
     wake_all(link);
 }
 
@@ -285,8 +287,8 @@
         return;
     }
     s->epoch = epoch; /* it has started: all that matters is told again */
-    s->told = 0;
-    s->telling = 0;
+    s->acknowledged = 0;
+    s->sending = 0;
     sender_wake(s);
 }
 
@@ -310,7 +312,7 @@
 crash_link_destroy(crash_link_t *link)
 {
     g_hash_table_unref(link->senders);
-    g_queue_clear_full(&link->notes, note_free);
+    g_queue_clear_full(&link->records, record_free);
     g_free(link);
 }
 
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -11,24 +11,24 @@
 enum {
     MS = 1000,
     /* How often breaks that are not explained yet are looked at. */
-    LOOK_US = 50 * MS,
+    CHECK_INTERVAL_US = 50 * MS,
     /* A connection is tried by then, unless a request found the address
      * refused before: so that an endpoint without new requests is found. */
-    PROBE_US = 50 * MS,
+    CONNECT_DELAY_US = 50 * MS,
     /* Bytes that come later after a break than this were not on their way
      * already: the endpoint lives. */
-    ON_THEIR_WAY_US = 50 * MS,
+    IN_TRANSIT_US = 50 * MS,
     /* For other requests there to be heard of before an end is taken for
      * sure. Three ends are to be known everywhere within 3 s. */
-    SURE_US = 150 * MS,
+    REPORT_DELAY_US = 150 * MS,
     /* An engine is back within seconds; what is not explained by then was no
      * end, or will not be known as one. */
-    FORGET_US = 6000 * MS,
+    BREAK_LIFETIME_US = 6000 * MS,
     /* One whose caller left so shortly before counts as having run there. */
-    LEFT_US = 1000 * MS,
-    LEFT_MAX = 64,     /* remembered; beyond it the oldest give way */
-    LOGGED_RUNS = 8,   /* fingerprints in one line */
-    BREAKS_MAX = 1024, /* watched at once: every endpoint of a large site */
+    ABANDONED_LIFETIME_US = 1000 * MS,
+    ABANDONED_MAX = 64,  /* remembered; beyond it the oldest give way */
+    LOGGED_RUNS_MAX = 8, /* fingerprints in one line */
+    BREAKS_MAX = 1024,   /* watched at once: every endpoint of a large site */
 };
 
 /* A break at an endpoint, and what became of it. */
@@ -37,11 +37,11 @@
     char *service;
     char *address;
     gint64 broke_us;
-    const char *evidence; /* that it ended; NULL: none yet */
-    gboolean ended;       /* told */
-    gboolean news;        /* runs that were not told yet */
-    gboolean probed;
-    stream_socket_t *probe; /* a connection that is tried; or NULL */
+    const char *evidence;  /* that it ended; NULL: none yet */
+    gboolean reported;     /* told */
+    gboolean has_new_runs; /* runs that were not told yet */
+    gboolean connect_tried;
+    stream_socket_t *connection; /* a connection that is tried; or NULL */
     crash_watch_t *watch;
 } break_t;
 
@@ -49,18 +49,18 @@
     guint64 endpoint;
     gint64 at_us;
     watched_run_t run;
-} left_run_t;
+} abandoned_run_t;
 
 struct crash_watch {
     crash_watch_setup_t setup;
     GHashTable *breaks; /* hash of the endpoint -> break_t */
-    guint open;         /* of them, those that are not explained */
+    guint unexplained;  /* of them, those that are not explained */
     guint64 timer;      /* 0: nothing to look at */
-    left_run_t left[LEFT_MAX];
-    guint left_next;
+    abandoned_run_t abandoned[ABANDONED_MAX];
+    guint abandoned_next;
 };
 
-static void look(void *data);
+static void check_breaks(void *data);
 
 static gint64
 watch_now(const crash_watch_t *w)
@@ -69,16 +69,16 @@
 }
 
 static void
-probe_end(break_t *b)
+connection_close(break_t *b)
 {
-    g_clear_pointer(&b->probe, stream_socket_destroy);
+    g_clear_pointer(&b->connection, stream_socket_destroy);
 }
 
 static void
 break_free(gpointer data)
 {
     break_t *b = data;
-    probe_end(b);
+    connection_close(b);
     endpoint_end_clear(&b->end);
     g_free(b->service);
     g_free(b->address);
@@ -112,19 +112,19 @@
         counter_add(counter_get("cut_requests_dropped_total", NULL, FALSE), 1);
         return;
     }
-    b->news |= endpoint_end_add(&b->end, run);
+    b->has_new_runs |= endpoint_end_add(&b->end, run);
 }
 
 /* Those whose callers left shortly before the break ran there as well. */
 static void
-add_left(break_t *b, guint64 endpoint)
+add_abandoned(break_t *b, guint64 endpoint)
 {
     const crash_watch_t *w = b->watch;
-    for (guint i = 0; i < LEFT_MAX; i++) {
-        const left_run_t *left = &w->left[i];
-        if (left->endpoint == endpoint &&
-            b->broke_us - left->at_us < LEFT_US) {
-            add_run(b, left->run.run);
+    for (guint i = 0; i < ABANDONED_MAX; i++) {
+        const abandoned_run_t *abandoned = &w->abandoned[i];
+        if (abandoned->endpoint == endpoint &&
+            b->broke_us - abandoned->at_us < ABANDONED_LIFETIME_US) {
+            add_run(b, abandoned->run.run);
         }
     }
 }
@@ -145,17 +145,18 @@
     b->address = g_strdup(e->address);
     endpoint_end_init(&b->end, e->id, e->started_ms);
     g_hash_table_insert(w->breaks, g_memdup2(&e->hash, sizeof(e->hash)), b);
-    w->open++;
-    add_left(b, e->hash);
+    w->unexplained++;
+    add_abandoned(b, e->hash);
     if (w->timer == 0) {
-        w->timer =
-            timers_subscribe(w->setup.timers, LOOK_US, LOOK_US, look, w);
+        w->timer = timers_subscribe(w->setup.timers, CHECK_INTERVAL_US,
+                                    CHECK_INTERVAL_US, check_breaks, w);
     }
     return b;
 }
 
 void
-crash_watch_broke(crash_watch_t *w, const endpoint_t *e, watched_run_t run)
+crash_watch_record_break(crash_watch_t *w, const endpoint_t *e,
+                         watched_run_t run)
 {
     break_t *b = break_find(w, e);
     if (b == NULL && (e->draining || e->left ||
@@ -172,17 +173,18 @@
 }
 
 void
-crash_watch_left(crash_watch_t *w, const endpoint_t *e, watched_run_t run)
+crash_watch_record_abandoned(crash_watch_t *w, const endpoint_t *e,
+                             watched_run_t run)
 {
-    w->left[w->left_next] =
-        (left_run_t){.endpoint = e->hash, .at_us = watch_now(w), .run = run};
-    w->left_next = (w->left_next + 1) % LEFT_MAX;
+    w->abandoned[w->abandoned_next] = (abandoned_run_t){
+        .endpoint = e->hash, .at_us = watch_now(w), .run = run};
+    w->abandoned_next = (w->abandoned_next + 1) % ABANDONED_MAX;
 }
 
 /* ---- whether it ended ---- */
 
 static void
-note_evidence(break_t *b, const char *evidence)
+set_evidence(break_t *b, const char *evidence)
 {
     if (b->evidence == NULL) {
         b->evidence = evidence;
@@ -190,73 +192,75 @@
 }
 
 void
-crash_watch_refused(crash_watch_t *w, const endpoint_t *e)
+crash_watch_record_refused(crash_watch_t *w, const endpoint_t *e)
 {
     break_t *b = break_find(w, e);
     if (b != NULL) {
-        note_evidence(b, "nobody listens there");
+        set_evidence(b, "nobody listens there");
     }
 }
 
 gboolean
-crash_watch_is_open(const crash_watch_t *w)
+crash_watch_has_unexplained(const crash_watch_t *w)
 {
-    return w->open > 0;
+    return w->unexplained > 0;
 }
 
 void
-crash_watch_heard(crash_watch_t *w, const endpoint_t *e)
+crash_watch_record_bytes(crash_watch_t *w, const endpoint_t *e)
 {
     break_t *b = break_find(w, e);
-    if (b != NULL && !b->ended &&
-        watch_now(w) - b->broke_us > ON_THEIR_WAY_US) {
-        w->open--;
+    if (b != NULL && !b->reported &&
+        watch_now(w) - b->broke_us > IN_TRANSIT_US) {
+        w->unexplained--;
         g_hash_table_remove(w->breaks, &e->hash);
     }
 }
 
 static void
-probe_connected(void *user)
+connection_connected(void *user)
 {
-    probe_end(user); /* it lives, or is back already: its next start tells */
+    connection_close(
+        user); /* it lives, or is back already: its next start tells */
 }
 
 static void
-probe_bytes(void *user, str_t bytes)
+connection_bytes(void *user, str_t bytes)
 {
     (void)user;
     (void)bytes;
 }
 
 static void
-probe_drained(void *user)
+connection_drained(void *user)
 {
     (void)user;
 }
 
 static void
-probe_closed(void *user, int error)
+connection_closed(void *user, int error)
 {
     break_t *b = user;
     if (error == ECONNREFUSED) {
-        note_evidence(b, "nobody listens there");
+        set_evidence(b, "nobody listens there");
     }
-    probe_end(b);
+    connection_close(b);
 }
 
-static const stream_socket_ops_t PROBE_OPS = {.connected = probe_connected,
-                                              .bytes = probe_bytes,
-                                              .drained = probe_drained,
-                                              .closed = probe_closed};
+static const stream_socket_ops_t CONNECTION_OPS = {
+    .connected = connection_connected,
+    .bytes = connection_bytes,
+    .drained = connection_drained,
+    .closed = connection_closed};
 
 static void
-probe_begin(break_t *b)
+connection_open(break_t *b)
 {
     struct sockaddr_in address;
-    b->probed = TRUE;
+    b->connect_tried = TRUE;
     if (socket_address_parse(str_from_cstr(b->address), &address)) {
-        b->probe = stream_socket_connect(b->watch->setup.poller, &address,
-                                         &PROBE_OPS, b);
+        b->connection = stream_socket_connect(b->watch->setup.poller, &address,
+                                              &CONNECTION_OPS, b);
     }
 }
 
@@ -270,7 +274,7 @@
         return;
     }
     GString *list = g_string_new(NULL);
-    for (guint i = 0; i < MIN(runs->len, LOGGED_RUNS); i++) {
+    for (guint i = 0; i < MIN(runs->len, LOGGED_RUNS_MAX); i++) {
         char text[FINGERPRINT_TEXT_SIZE];
         fingerprint_format(
             g_array_index(runs, interrupted_run_t, i).fingerprint, text);
@@ -289,54 +293,55 @@
 }
 
 static void
-tell(break_t *b)
+report_end(break_t *b)
 {
-    if (!b->ended) {
-        b->ended = TRUE;
-        b->watch->open--;
+    if (!b->reported) {
+        b->reported = TRUE;
+        b->watch->unexplained--;
         log_end(b);
         counter_add(counter_get("endpoints_ended_total", NULL, FALSE), 1);
         counter_add(counter_get("cut_requests_total", NULL, FALSE),
                     b->end.runs->len);
     }
-    b->news = FALSE;
+    b->has_new_runs = FALSE;
     b->watch->setup.ended(b->watch->setup.user, &b->end);
 }
 
 /* TRUE when there is nothing more to learn of it. */
 static gboolean
-look_at(break_t *b, gint64 now_us)
+check_break(break_t *b, gint64 now_us)
 {
     const crash_watch_t *w = b->watch;
     gint64 age_us = now_us - b->broke_us;
     incarnation_state_t state = directory_incarnation_state(
         w->setup.directory, b->end.endpoint, b->end.started_ms, b->address);
-    if (b->ended && b->news) {
-        tell(b);
+    if (b->reported && b->has_new_runs) {
+        report_end(b);
     }
-    if (age_us > FORGET_US) {
+    if (age_us > BREAK_LIFETIME_US) {
         return TRUE;
     }
-    if (b->ended) {
+    if (b->reported) {
         return FALSE;
     }
     if (state == INCARNATION_LEAVING) {
         return TRUE;
     }
     if (state == INCARNATION_REPLACED) {
-        note_evidence(b, "another start has its address");
+        set_evidence(b, "another start has its address");
     }
-    if (b->evidence == NULL && !b->probed && age_us >= PROBE_US) {
-        probe_begin(b);
+    if (b->evidence == NULL && !b->connect_tried &&
+        age_us >= CONNECT_DELAY_US) {
+        connection_open(b);
     }
-    if (b->evidence != NULL && age_us >= SURE_US) {
-        tell(b);
+    if (b->evidence != NULL && age_us >= REPORT_DELAY_US) {
+        report_end(b);
     }
     return FALSE;
 }
 
 static void
-look(void *data)
+check_breaks(void *data)
 {
     crash_watch_t *w = data;
     GHashTableIter iter;
@@ -345,8 +350,8 @@
     g_hash_table_iter_init(&iter, w->breaks);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         break_t *b = value;
-        if (look_at(b, now_us)) {
-            w->open -= !b->ended;
+        if (check_break(b, now_us)) {
+            w->unexplained -= !b->reported;
             g_hash_table_iter_remove(&iter);
         }
     }
--- a/carobloomd/gateway/crash_watch.h
+++ b/carobloomd/gateway/crash_watch.h
@@ -35,16 +35,19 @@
 crash_watch_t *crash_watch_create(const crash_watch_setup_t *setup);
 void crash_watch_destroy(crash_watch_t *watch);
 /* A request was sent there and its connection broke off. */
-void crash_watch_broke(crash_watch_t *watch, const endpoint_t *endpoint,
-                       watched_run_t run);
+void crash_watch_record_break(crash_watch_t *watch, const endpoint_t *endpoint,
+                              watched_run_t run);
 /* Its caller left, or it was given up, while it ran there. */
-void crash_watch_left(crash_watch_t *watch, const endpoint_t *endpoint,
-                      watched_run_t run);
+void crash_watch_record_abandoned(crash_watch_t *watch,
+                                  const endpoint_t *endpoint,
+                                  watched_run_t run);
 /* Nobody listens at the endpoint's address. */
-void crash_watch_refused(crash_watch_t *watch, const endpoint_t *endpoint);
+void crash_watch_record_refused(crash_watch_t *watch,
+                                const endpoint_t *endpoint);
 /* Bytes came from the endpoint: only of interest while a break there is
  * unexplained, which the first tells. */
-gboolean crash_watch_is_open(const crash_watch_t *watch);
-void crash_watch_heard(crash_watch_t *watch, const endpoint_t *endpoint);
+gboolean crash_watch_has_unexplained(const crash_watch_t *watch);
+void crash_watch_record_bytes(crash_watch_t *watch,
+                              const endpoint_t *endpoint);
 
 #endif
--- a/carobloomd/gateway/crash_wire.c
+++ b/carobloomd/gateway/crash_wire.c
@@ -60,53 +60,53 @@
 
 /* FALSE when a stage is none, or there are too many runs. */
 static gboolean
-runs_take(GVariant *list, endpoint_end_t *end)
+runs_read(GVariant *list, endpoint_end_t *end)
 {
     GVariantIter iter;
     guint64 fingerprint;
     guchar stage;
-    gboolean sound = g_variant_iter_init(&iter, list) <= ENDPOINT_RUNS_MAX;
-    while (sound && g_variant_iter_next(&iter, "(ty)", &fingerprint, &stage)) {
-        sound = stage < RUN_STAGE_COUNT;
+    gboolean valid = g_variant_iter_init(&iter, list) <= ENDPOINT_RUNS_MAX;
+    while (valid && g_variant_iter_next(&iter, "(ty)", &fingerprint, &stage)) {
+        valid = stage < RUN_STAGE_COUNT;
         endpoint_end_add(end,
                          (interrupted_run_t){.fingerprint = fingerprint,
                                              .stage = (run_stage_t)stage});
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static gboolean
-ends_take(GVariant *list, crash_report_t *r)
+ends_read(GVariant *list, crash_report_t *r)
 {
     GVariantIter iter;
     const char *endpoint;
     gint64 started_ms;
     GVariant *runs;
-    gboolean sound = g_variant_iter_init(&iter, list) <= CRASH_REPORT_ENDS;
-    while (sound && g_variant_iter_next(&iter, "(&sx@a(ty))", &endpoint,
+    gboolean valid = g_variant_iter_init(&iter, list) <= CRASH_REPORT_ENDS_MAX;
+    while (valid && g_variant_iter_next(&iter, "(&sx@a(ty))", &endpoint,
                                         &started_ms, &runs)) {
         endpoint_end_t end;
         endpoint_end_init(&end, endpoint, started_ms);
-        sound = runs_take(runs, &end);
+        valid = runs_read(runs, &end);
         g_array_append_val(r->ends, end);
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static gboolean
-answered_take(GVariant *list, crash_report_t *r)
+answered_read(GVariant *list, crash_report_t *r)
 {
     gsize count;
     const guint64 *fingerprints =
         g_variant_get_fixed_array(list, &count, sizeof(guint64));
-    gboolean sound = count <= CRASH_REPORT_ANSWERED;
-    if (sound) {
+    gboolean valid = count <= CRASH_REPORT_ANSWERED_MAX;
+    if (valid) {
         g_array_append_vals(r->answered, fingerprints, (guint)count);
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 gboolean
@@ -121,13 +121,13 @@
     GVariant *answered;
     crash_report_init(r);
     g_variant_get(v, "(@" ENDS_TYPE "@at)", &ends, &answered);
-    gboolean sound = ends_take(ends, r);
-    sound = answered_take(answered, r) && sound;
+    gboolean valid = ends_read(ends, r);
+    valid = answered_read(answered, r) && valid;
     g_variant_unref(v);
-    if (!sound) {
+    if (!valid) {
         crash_report_clear(r);
     }
-    return sound;
+    return valid;
 }
 
 GVariant *
@@ -147,19 +147,19 @@
 }
 
 GArray *
-quarantine_orders_take(GVariant *list)
+quarantine_orders_read(GVariant *list)
 {
     GVariantIter iter;
     quarantine_order_t o;
     GArray *orders = quarantine_orders_new();
-    gboolean sound = g_variant_iter_init(&iter, list) <= QUARANTINE_ORDERS_MAX;
-    while (sound &&
+    gboolean valid = g_variant_iter_init(&iter, list) <= QUARANTINE_ORDERS_MAX;
+    while (valid &&
            g_variant_iter_next(&iter, "(txxsbus)", &o.fingerprint, &o.left_us,
                                &o.since_us, &o.endpoints, &o.uncertain,
                                &o.probe, &o.probe_instance)) {
         g_array_append_val(orders, o);
     }
-    if (!sound) {
+    if (!valid) {
         g_clear_pointer(&orders, g_array_unref);
     }
     g_variant_unref(list);
@@ -183,7 +183,7 @@
     GVariant *list;
     gint64 written_us;
     g_variant_get(v, "(x@" QUARANTINE_ORDERS_TYPE ")", &written_us, &list);
-    GArray *orders = quarantine_orders_take(list);
+    GArray *orders = quarantine_orders_read(list);
     gint64 passed_us = MAX(wall_us - written_us, 0);
     for (guint i = 0; orders != NULL && i < orders->len; i++) {
         quarantine_order_t *o = &g_array_index(orders, quarantine_order_t, i);
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -115,8 +115,9 @@
 forward_note_heard(forward_t *f)
 {
     f->progress_us = forward_now(f);
-    if (f->endpoint != NULL && crash_watch_is_open(f->entry->crashes)) {
-        crash_watch_heard(f->entry->crashes, f->endpoint);
+    if (f->endpoint != NULL &&
+        crash_watch_has_unexplained(f->entry->crashes)) {
+        crash_watch_record_bytes(f->entry->crashes, f->endpoint);
     }
 }
 
@@ -129,10 +130,10 @@
         return;
     }
     if (failure == CALL_FAILED_REFUSED) {
-        crash_watch_refused(watch, f->endpoint);
+        crash_watch_record_refused(watch, f->endpoint);
     }
     if (failure == CALL_FAILED_SENT || failure == CALL_FAILED_CUT) {
-        crash_watch_broke(watch, f->endpoint, watched_run(f));
+        crash_watch_record_break(watch, f->endpoint, watched_run(f));
     }
 }
 
@@ -141,6 +142,7 @@
 forward_note_left(forward_t *f)
 {
     if (f->call != NULL && f->endpoint != NULL && client_call_sent(f->call)) {
-        crash_watch_left(f->entry->crashes, f->endpoint, watched_run(f));
+        crash_watch_record_abandoned(f->entry->crashes, f->endpoint,
+                                     watched_run(f));
     }
 }
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -323,7 +323,7 @@
     if (endpoint->limit != NULL) {
         limit_link_spend(f->entry->limit_link, endpoint);
     }
-    traffic_count_into(f->entry->traffic, f->call, TRAFFIC_WORK,
+    traffic_count_into(f->entry->traffic, f->call, TRAFFIC_ENDPOINT_REQUESTS,
                        endpoint->data_centre);
     join_endpoint(f, &placement, &request);
     forward_arm(f);
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -16,23 +16,23 @@
     MS = 1000,
     /* Grants that are over are looked for, and owners that did not answer
      * asked again, each so often while any limit is in force. */
-    TICK_US = 100 * MS,
+    TICK_INTERVAL_US = 100 * MS,
     /* Between two asks of one owner at least; for sends it may say more. */
-    ASK_US = 100 * MS,
-    ASK_SPREAD_US = 30 * MS,
+    REQUEST_INTERVAL_US = 100 * MS,
+    REQUEST_JITTER_US = 30 * MS,
     /* An owner that takes longer is asked anew. */
-    ANSWER_US = 400 * MS,
-    RETRY_US = 200 * MS,
+    ANSWER_TIMEOUT_US = 400 * MS,
+    RETRY_DELAY_US = 200 * MS,
     /* Failed asks in a row after which it is taken as lost. */
-    FAILURES_MOST = 2,
+    FAILURES_MAX = 2,
     ANSWER_MAX = 64 * 1024,
     /* Owners that are asked for one request that found no endpoint: all of
      * them would make bytes grow as instances times endpoints in need. */
-    DENIED_MOST = 4,
+    DENIED_MAX = 4,
 };
 
-static const http_peer_limits_t ASKER_LIMITS = {
-    .connect_us = ANSWER_US,
+static const http_peer_limits_t OWNER_PEER_LIMITS = {
+    .connect_us = ANSWER_TIMEOUT_US,
     .idle_us = 2 * G_USEC_PER_SEC,
     .idle_max = 1,
     .head_max = 4096,
@@ -44,18 +44,18 @@
     char *address;
     guint64 hash;
     inner_line_t *line;
-    guint64 timer; /* of the next ask; 0: none waits */
-    GArray *asks;  /* limit_request_t under way, or NULL */
-    gint64 asked_us;
-    gint64 wants_us; /* sends are not asked for before */
-    guint failures;  /* in a row */
-} asker_t;
+    guint64 timer;    /* of the next ask; 0: none waits */
+    GArray *requests; /* limit_request_t under way, or NULL */
+    gint64 sent_us;
+    gint64 next_grants_us; /* sends are not asked for before */
+    guint failures;        /* in a row */
+} owner_t;
 
 struct limit_link {
     entry_t *entry;
     guint64 incarnation;
     guint64 sequence;  /* of the last ask */
-    GPtrArray *askers; /* asker_t * */
+    GPtrArray *owners; /* owner_t * */
     guint64 tick;      /* timer; 0: no limit is known */
 };
 
@@ -68,32 +68,32 @@
 /* ---- owners ---- */
 
 static gboolean
-is_lost(const asker_t *a)
+is_lost(const owner_t *owner)
 {
-    return a->failures >= FAILURES_MOST;
+    return owner->failures >= FAILURES_MAX;
 }
 
 /* Who owns an endpoint's limit, among all or those that answer; NULL when
  * there is none. */
-static asker_t *
-owner_among(const limit_link_t *link, guint64 endpoint, gboolean answering)
+static owner_t *
+owner_among(const limit_link_t *link, guint64 endpoint, gboolean reachable)
 {
-    asker_t *candidates[VOTER_MEMBERS_MAX];
+    owner_t *candidates[VOTER_MEMBERS_MAX];
     guint64 hashes[VOTER_MEMBERS_MAX];
     guint count = 0;
-    for (guint i = 0; i < link->askers->len && count < VOTER_MEMBERS_MAX;
+    for (guint i = 0; i < link->owners->len && count < VOTER_MEMBERS_MAX;
          i++) {
-        asker_t *a = link->askers->pdata[i];
-        if (!answering || !is_lost(a)) {
-            candidates[count] = a;
-            hashes[count++] = a->hash;
+        owner_t *owner = link->owners->pdata[i];
+        if (!reachable || !is_lost(owner)) {
+            candidates[count] = owner;
+            hashes[count++] = owner->hash;
         }
     }
-    gssize owner = rendezvous_owner(endpoint, hashes, count);
-    return owner >= 0 ? candidates[owner] : NULL;
+    gssize best = rendezvous_owner(endpoint, hashes, count);
+    return best >= 0 ? candidates[best] : NULL;
 }
 
-static asker_t *
+static owner_t *
 owner_of(const limit_link_t *link, guint64 endpoint)
 {
     return owner_among(link, endpoint, FALSE);
@@ -101,7 +101,7 @@
 
 /* Who tells all of an endpoint's limit: its owner, or the next one in the same
  * ranking while that is lost. */
-static asker_t *
+static owner_t *
 relay_of(const limit_link_t *link, guint64 endpoint)
 {
     return owner_among(link, endpoint, TRUE);
@@ -122,13 +122,13 @@
 /* Nobody can be asked about these limits: `a` does not answer, or NULL where
  * no control instance is known. */
 static void
-go_alone(const limit_link_t *link, const asker_t *a)
+send_without_owner(const limit_link_t *link, const owner_t *owner)
 {
     const entry_t *e = link->entry;
     gint64 now = limit_link_now();
     for (guint i = 0; i < limit_count(link); i++) {
         endpoint_t *endpoint = endpoint_at(link, i);
-        if (owner_of(link, endpoint->hash) == a) {
+        if (owner_of(link, endpoint->hash) == owner) {
             endpoint_limit_owner_lost(endpoint->limit,
                                       instance_count_get(&e->sharers),
                                       g_rand_double(e->random), now);
@@ -140,34 +140,34 @@
 
 /* Whether there is something to tell or to ask an endpoint's owner. */
 static gboolean
-has_ask(const asker_t *owner, const endpoint_t *e, gint64 now)
+has_request(const owner_t *owner, const endpoint_t *e, gint64 now)
 {
     return endpoint_limit_has_update(e->limit) ||
-           (now >= owner->wants_us &&
+           (now >= owner->next_grants_us &&
             endpoint_limit_needs_grants(e->limit, now));
 }
 
 /* Whether there is something to tell one that only relays the limit. */
 static gboolean
-has_report(const asker_t *a, const endpoint_t *e)
+has_report(const owner_t *owner, const endpoint_t *e)
 {
     return endpoint_limit_has_report(e->limit) &&
-           relay_of(a->link, e->hash) == a;
+           relay_of(owner->link, e->hash) == owner;
 }
 
-static void asker_due(void *data);
+static void owner_due(void *data);
 
 static void
-asker_wait(asker_t *a, gint64 us)
+owner_wait(owner_t *owner, gint64 us)
 {
-    timers_t *timers = a->link->entry->timers;
-    timers_cancel(timers, a->timer);
-    a->timer = timers_subscribe(timers, MAX(us, 0), 0, asker_due, a);
+    timers_t *timers = owner->link->entry->timers;
+    timers_cancel(timers, owner->timer);
+    owner->timer = timers_subscribe(timers, MAX(us, 0), 0, owner_due, owner);
 }
 
 /* The endpoint with a limit of a hash, or NULL. */
 static endpoint_t *
-find(const limit_link_t *link, guint64 hash)
+endpoint_find(const limit_link_t *link, guint64 hash)
 {
     for (guint i = 0; i < limit_count(link); i++) {
         endpoint_t *e = endpoint_at(link, i);
@@ -179,45 +179,46 @@
 }
 
 static void
-asker_failed(asker_t *a)
+owner_failed(owner_t *owner)
 {
-    const limit_link_t *link = a->link;
-    for (guint i = 0; a->asks != NULL && i < a->asks->len; i++) {
-        const endpoint_t *e =
-            find(link, g_array_index(a->asks, limit_request_t, i).endpoint);
-        if (e != NULL && owner_of(link, e->hash) == a) {
+    const limit_link_t *link = owner->link;
+    for (guint i = 0; owner->requests != NULL && i < owner->requests->len;
+         i++) {
+        const endpoint_t *e = endpoint_find(
+            link, g_array_index(owner->requests, limit_request_t, i).endpoint);
+        if (e != NULL && owner_of(link, e->hash) == owner) {
             e->limit->update_due = TRUE;
         }
         else if (e != NULL) {
             e->limit->relay_report_due = TRUE;
         }
     }
-    g_clear_pointer(&a->asks, g_array_unref);
+    g_clear_pointer(&owner->requests, g_array_unref);
     counter_add(counter_get("limit_asks_failed_total", NULL, FALSE), 1);
-    a->failures++;
-    if (a->failures == FAILURES_MOST &&
+    owner->failures++;
+    if (owner->failures == FAILURES_MAX &&
         event_log_begin(EVENT_STATE, "limit_owner_lost")) {
-        event_log_cstr("control", a->address);
+        event_log_cstr("control", owner->address);
         event_log_end();
     }
-    if (is_lost(a)) {
-        go_alone(link, a);
+    if (is_lost(owner)) {
+        send_without_owner(link, owner);
     }
-    asker_wait(a, RETRY_US);
+    owner_wait(owner, RETRY_DELAY_US);
 }
 
 static void
-take_grant(const asker_t *a, const limit_grant_t *grant)
+apply_grant(const owner_t *owner, const limit_grant_t *grant)
 {
-    entry_t *e = a->link->entry;
-    endpoint_t *endpoint = find(a->link, grant->state.endpoint);
-    if (endpoint == NULL || owner_of(a->link, endpoint->hash) != a) {
+    entry_t *e = owner->link->entry;
+    endpoint_t *endpoint = endpoint_find(owner->link, grant->state.endpoint);
+    if (endpoint == NULL || owner_of(owner->link, endpoint->hash) != owner) {
         return;
     }
     endpoint_limit_t *l = endpoint->limit;
     limit_change_t change =
-        endpoint_limit_apply_grant(l, grant, a->asked_us, limit_link_now());
-    limit_log_change(e, endpoint, change, a->address);
+        endpoint_limit_apply_grant(l, grant, owner->sent_us, limit_link_now());
+    limit_log_change(e, endpoint, change, owner->address);
     limit_share_record_granted(
         &entry_service(e, endpoint->service)->limit_share, grant->granted,
         entry_now(e));
@@ -226,154 +227,157 @@
 static void
 on_answered(void *user, guint status, GBytes *body)
 {
-    asker_t *a = user;
+    owner_t *owner = user;
     limit_answer_t answer;
     if (status != 200 || !limit_answer_read(body, &answer)) {
-        asker_failed(a);
+        owner_failed(owner);
         return;
     }
     for (guint i = 0; i < answer.grants->len; i++) {
-        take_grant(a, &g_array_index(answer.grants, limit_grant_t, i));
+        apply_grant(owner, &g_array_index(answer.grants, limit_grant_t, i));
     }
-    if (is_lost(a) && event_log_begin(EVENT_STATE, "limit_owner_found")) {
-        event_log_cstr("control", a->address);
+    if (is_lost(owner) && event_log_begin(EVENT_STATE, "limit_owner_found")) {
+        event_log_cstr("control", owner->address);
         event_log_end();
     }
-    a->failures = 0;
-    a->wants_us = a->asked_us + answer.ask_ms * (gint64)MS;
+    owner->failures = 0;
+    owner->next_grants_us =
+        owner->sent_us + answer.report_interval_ms * (gint64)MS;
     limit_answer_clear(&answer);
-    g_clear_pointer(&a->asks, g_array_unref);
-    gint64 since_us = limit_link_now() - a->asked_us;
+    g_clear_pointer(&owner->requests, g_array_unref);
+    gint64 since_us = limit_link_now() - owner->sent_us;
     /* At even pauses one instance could always be the first to ask after the
      * owner had something to grant. */
     gint64 pause_us =
-        ASK_US + g_rand_int_range(a->link->entry->random, 0, ASK_SPREAD_US);
-    asker_wait(a, pause_us - since_us);
+        REQUEST_INTERVAL_US +
+        g_rand_int_range(owner->link->entry->random, 0, REQUEST_JITTER_US);
+    owner_wait(owner, pause_us - since_us);
 }
 
 static void
 on_failed(void *user)
 {
-    asker_failed(user);
+    owner_failed(user);
 }
 
-static const inner_line_ops_t ASKER_OPS = {.answered = on_answered,
+static const inner_line_ops_t OWNER_OPS = {.answered = on_answered,
                                            .failed = on_failed};
 
 /* FALSE when there is nothing to tell or to ask this one. */
 static gboolean
-fill_ask(const asker_t *a, const endpoint_t *e, limit_request_t *ask,
-         gint64 now)
+fill_request(const owner_t *owner, const endpoint_t *e,
+             limit_request_t *request, gint64 now)
 {
-    *ask = (limit_request_t){.endpoint = e->hash};
-    if (owner_of(a->link, e->hash) == a) {
-        if (!has_ask(a, e, now)) {
+    *request = (limit_request_t){.endpoint = e->hash};
+    if (owner_of(owner->link, e->hash) == owner) {
+        if (!has_request(owner, e, now)) {
             return FALSE;
         }
-        endpoint_limit_fill_request(e->limit, ask, now);
+        endpoint_limit_fill_request(e->limit, request, now);
         return TRUE;
     }
-    if (!has_report(a, e)) {
+    if (!has_report(owner, e)) {
         return FALSE;
     }
-    endpoint_limit_fill_report(e->limit, ask, now);
+    endpoint_limit_fill_report(e->limit, request, now);
     return TRUE;
 }
 
 /* What there is to tell and to ask this one. */
 static GArray *
-collect_asks(const asker_t *a)
+collect_requests(const owner_t *owner)
 {
-    const limit_link_t *link = a->link;
+    const limit_link_t *link = owner->link;
     gint64 now = limit_link_now();
-    GArray *asks = g_array_new(FALSE, FALSE, sizeof(limit_request_t));
-    for (guint i = 0; i < limit_count(link) && asks->len < LIMIT_ASKS_MAX;
-         i++) {
-        limit_request_t ask;
-        if (fill_ask(a, endpoint_at(link, i), &ask, now)) {
-            g_array_append_val(asks, ask);
+    GArray *requests = g_array_new(FALSE, FALSE, sizeof(limit_request_t));
+    for (guint i = 0;
+         i < limit_count(link) && requests->len < LIMIT_REQUESTS_MAX; i++) {
+        limit_request_t request;
+        if (fill_request(owner, endpoint_at(link, i), &request, now)) {
+            g_array_append_val(requests, request);
         }
     }
-    return asks;
+    return requests;
 }
 
 static void
-asker_ask(asker_t *a)
+owner_send(owner_t *owner)
 {
-    const entry_t *e = a->link->entry;
+    const entry_t *e = owner->link->entry;
     limit_report_t report = {.from = e->settings->instance,
-                             .incarnation = a->link->incarnation,
-                             .sequence = ++a->link->sequence,
-                             .asks = a->asks};
+                             .incarnation = owner->link->incarnation,
+                             .sequence = ++owner->link->sequence,
+                             .requests = owner->requests};
     GBytes *body = limit_report_write(&report);
-    a->asked_us = limit_link_now();
-    gboolean posted = inner_line_post(a->line, LIMITS_PATH, body, ANSWER_US);
+    owner->sent_us = limit_link_now();
+    gboolean posted =
+        inner_line_post(owner->line, LIMITS_PATH, body, ANSWER_TIMEOUT_US);
     g_bytes_unref(body);
     if (!posted) {
-        asker_failed(a);
+        owner_failed(owner);
     }
 }
 
 static void
-asker_due(void *data)
+owner_due(void *data)
 {
-    asker_t *a = data;
-    a->timer = 0;
-    if (inner_line_is_busy(a->line)) {
-        asker_wait(a, RETRY_US);
+    owner_t *owner = data;
+    owner->timer = 0;
+    if (inner_line_is_busy(owner->line)) {
+        owner_wait(owner, RETRY_DELAY_US);
         return;
     }
-    a->asks = collect_asks(a);
-    if (a->asks->len == 0) {
-        g_clear_pointer(&a->asks, g_array_unref);
+    owner->requests = collect_requests(owner);
+    if (owner->requests->len == 0) {
+        g_clear_pointer(&owner->requests, g_array_unref);
         return;
     }
-    asker_ask(a);
+    owner_send(owner);
 }
 
 /* One that waits for nothing asks at once; the others go on by their timer. */
 static void
-asker_wake(asker_t *a)
+owner_wake(owner_t *owner)
 {
-    if (a->timer == 0 && !inner_line_is_busy(a->line)) {
-        asker_wait(a, 0);
+    if (owner->timer == 0 && !inner_line_is_busy(owner->line)) {
+        owner_wait(owner, 0);
     }
 }
 
 static void
-asker_free(gpointer data)
+owner_free(gpointer data)
 {
-    asker_t *a = data;
-    timers_cancel(a->link->entry->timers, a->timer);
-    inner_line_destroy(a->line);
-    g_clear_pointer(&a->asks, g_array_unref);
-    g_free(a->address);
-    g_free(a);
+    owner_t *owner = data;
+    timers_cancel(owner->link->entry->timers, owner->timer);
+    inner_line_destroy(owner->line);
+    g_clear_pointer(&owner->requests, g_array_unref);
+    g_free(owner->address);
+    g_free(owner);
 }
 
 /* NULL when the address is none. */
-static asker_t *
-asker_create(limit_link_t *link, const char *address)
+static owner_t *
+owner_create(limit_link_t *link, const char *address)
 {
     entry_t *e = link->entry;
-    asker_t *a = g_new0(asker_t, 1);
+    owner_t *owner = g_new0(owner_t, 1);
     inner_line_setup_t setup = {.poller = e->poller,
                                 .timers = e->timers,
-                                .peer = ASKER_LIMITS,
+                                .peer = OWNER_PEER_LIMITS,
                                 .answer_max = ANSWER_MAX,
-                                .ops = &ASKER_OPS,
-                                .user = a,
+                                .ops = &OWNER_OPS,
+                                .user = owner,
                                 .traffic = e->traffic,
                                 .kind = TRAFFIC_LIMITS};
-    a->line = inner_line_create(&setup, address);
-    if (a->line == NULL) {
-        g_free(a);
+    owner->line = inner_line_create(&setup, address);
+    if (owner->line == NULL) {
+        g_free(owner);
         return NULL;
     }
-    a->link = link;
-    a->address = g_strdup(address);
-    a->hash = hash_text(str_from_cstr(address));
-    return a;
+    owner->link = link;
+    owner->address = g_strdup(address);
+    owner->hash = hash_text(str_from_cstr(address));
+    return owner;
 }
 
 /* ---- all limits ---- */
@@ -381,16 +385,16 @@
 static void
 wake_owner(const limit_link_t *link, const endpoint_t *e)
 {
-    asker_t *owner = owner_of(link, e->hash);
-    if (owner != NULL && has_ask(owner, e, limit_link_now())) {
-        asker_wake(owner);
+    owner_t *owner = owner_of(link, e->hash);
+    if (owner != NULL && has_request(owner, e, limit_link_now())) {
+        owner_wake(owner);
     }
     if (owner == NULL || !is_lost(owner)) {
         return;
     }
-    asker_t *relay = relay_of(link, e->hash);
+    owner_t *relay = relay_of(link, e->hash);
     if (relay != NULL && has_report(relay, e)) {
-        asker_wake(relay);
+        owner_wake(relay);
     }
 }
 
@@ -403,8 +407,8 @@
         endpoint_limit_expire(e->limit, now);
         wake_owner(link, e);
     }
-    if (link->askers->len == 0) {
-        go_alone(link, NULL);
+    if (link->owners->len == 0) {
+        send_without_owner(link, NULL);
     }
 }
 
@@ -438,13 +442,13 @@
 tick_start(limit_link_t *link, const endpoint_t *e)
 {
     if (link->tick == 0 && needs_ticks(e)) {
-        link->tick = timers_subscribe(link->entry->timers, TICK_US, TICK_US,
-                                      on_tick, link);
+        link->tick = timers_subscribe(link->entry->timers, TICK_INTERVAL_US,
+                                      TICK_INTERVAL_US, on_tick, link);
     }
 }
 
 static void
-note_change(limit_link_t *link, const endpoint_t *e)
+handle_change(limit_link_t *link, const endpoint_t *e)
 {
     tick_start(link, e);
     wake_owner(link, e);
@@ -458,7 +462,7 @@
     limit_change_t change =
         endpoint_limit_record_rate(l, rate, sent_us, limit_link_now());
     limit_log_change(link->entry, e, change, "answer");
-    note_change(link, e);
+    handle_change(link, e);
 }
 
 void
@@ -466,7 +470,7 @@
 {
     limit_change_t change = endpoint_limit_record_unlimited(e->limit, sent_us);
     limit_log_change(link->entry, e, change, "answer");
-    note_change(link, e);
+    handle_change(link, e);
 }
 
 void
@@ -478,7 +482,7 @@
     endpoint_limit_record_send(
         e->limit, instance_count_get(&link->entry->sharers), limit_link_now());
     counter_add(counter_get("sends_to_limited_total", NULL, FALSE), 1);
-    note_change(link, e);
+    handle_change(link, e);
 }
 
 void
@@ -487,7 +491,7 @@
     endpoint_limit_record_denied(e->limit, limit_link_now());
     counter_add(counter_get("sends_kept_by_limits_total", NULL, FALSE), 1);
     limit_log_spent(link->entry, e);
-    note_change(link, e);
+    handle_change(link, e);
 }
 
 void
@@ -496,7 +500,7 @@
     guint count = limit_count(link);
     guint from = g_rand_int(link->entry->random);
     guint denied = 0;
-    for (guint i = 0; i < count && denied < DENIED_MOST; i++) {
+    for (guint i = 0; i < count && denied < DENIED_MAX; i++) {
         endpoint_t *e = endpoint_at(link, (from % count + i) % count);
         if (e->limit->limited && strcmp(e->service, service) == 0) {
             limit_link_deny(link, e);
@@ -567,10 +571,10 @@
 static gboolean
 has_owners(const limit_link_t *link, const GPtrArray *controls)
 {
-    gboolean same = link->askers->len == controls->len;
+    gboolean same = link->owners->len == controls->len;
     for (guint i = 0; same && i < controls->len; i++) {
-        const asker_t *a = link->askers->pdata[i];
-        same = strcmp(a->address, controls->pdata[i]) == 0;
+        const owner_t *owner = link->owners->pdata[i];
+        same = strcmp(owner->address, controls->pdata[i]) == 0;
     }
     return same;
 }
@@ -581,14 +585,14 @@
     if (has_owners(link, controls)) {
         return;
     }
-    g_ptr_array_set_size(link->askers, 0);
+    g_ptr_array_set_size(link->owners, 0);
     for (guint i = 0; i < limit_count(link); i++) {
         endpoint_at(link, i)->limit->update_due = TRUE; /* to another owner */
     }
     for (guint i = 0; i < controls->len; i++) {
-        asker_t *a = asker_create(link, controls->pdata[i]);
-        if (a != NULL) {
-            g_ptr_array_add(link->askers, a);
+        owner_t *owner = owner_create(link, controls->pdata[i]);
+        if (owner != NULL) {
+            g_ptr_array_add(link->owners, owner);
         }
     }
 }
@@ -596,7 +600,7 @@
 const char *
 limit_link_owner(const limit_link_t *link, const endpoint_t *e)
 {
-    const asker_t *owner = owner_of(link, e->hash);
+    const owner_t *owner = owner_of(link, e->hash);
     return owner != NULL ? owner->address : NULL;
 }
 
@@ -634,7 +638,7 @@
     limit_link_t *link = g_new0(limit_link_t, 1);
     link->entry = e;
     link->incarnation = (guint64)g_random_int() << 32 | g_random_int();
-    link->askers = g_ptr_array_new_with_free_func(asker_free);
+    link->owners = g_ptr_array_new_with_free_func(owner_free);
     return link;
 }
 
@@ -642,6 +646,6 @@
 limit_link_destroy(limit_link_t *link)
 {
     timers_cancel(link->entry->timers, link->tick);
-    g_ptr_array_unref(link->askers);
+    g_ptr_array_unref(link->owners);
     g_free(link);
 }
--- a/carobloomd/gateway/limit_log.c
+++ b/carobloomd/gateway/limit_log.c
@@ -6,7 +6,7 @@
 enum {
     MS = 1000,
     /* Between two lines that an endpoint's grant is spent. */
-    SPENT_US = 1000 * MS,
+    SPENT_LOG_INTERVAL_US = 1000 * MS,
 };
 
 static void
@@ -17,14 +17,15 @@
         return;
     }
     const endpoint_limit_t *l = e->limit;
-    gint64 told_us = MAX(l->rate_received_us, l->owner_rate_us);
+    gint64 received_us = MAX(l->rate_received_us, l->owner_rate_us);
     event_log_cstr("endpoint", e->id);
     event_log_cstr("source", source);
     event_log_number("limit_per_1000_s", (gint64)(l->rate * 1000));
     event_log_number("granted", l->tokens);
     event_log_number("instances", instance_count_get(&entry->sharers));
-    event_log_number("told_age_ms",
-                     told_us != 0 ? (limit_link_now() - told_us) / MS : -1);
+    event_log_number("told_age_ms", received_us != 0
+                                        ? (limit_link_now() - received_us) / MS
+                                        : -1);
     event_log_number("sends", (gint64)l->sends);
     event_log_number("kept_away", (gint64)l->denied);
     event_log_end();
@@ -53,7 +54,7 @@
 limit_log_spent(const entry_t *entry, const endpoint_t *e)
 {
     gint64 now = limit_link_now();
-    if (now - e->limit->logged_us >= SPENT_US) {
+    if (now - e->limit->logged_us >= SPENT_LOG_INTERVAL_US) {
         e->limit->logged_us = now;
         log_limit(entry, e, "limit_spent", "");
     }
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -14,24 +14,24 @@
     /* One that does not answer for so long, four reports, is left for the
      * next: without word of the others requests go to engines that are full.
      */
-    ANSWER_US = 400 * MS,
+    ANSWER_TIMEOUT_US = 400 * MS,
     /* And is not asked again for so long: a process that was killed is back
      * within a second, one that froze within a few. Where no other is left,
      * for this only. */
-    SILENT_US = 3000 * MS,
-    SILENT_LAST_US = 200 * MS,
+    UNRESPONSIVE_US = 3000 * MS,
+    UNRESPONSIVE_FALLBACK_US = 200 * MS,
     /* While none answers, or there is no configuration yet. */
-    IDLE_US = 200 * MS,
+    IDLE_RETRY_US = 200 * MS,
     /* Between an answer and the next report, however late the answer. */
-    PAUSE_LEAST_US = 20 * MS,
+    PAUSE_MIN_US = 20 * MS,
     ANSWER_MAX = 1024 * 1024,
     /* Parts told with one report: more than an instance sends within its
      * interval; of what comes beyond, others learn from who sends it next. */
-    PARTS_MOST = 256,
+    PARTS_MAX = 256,
 };
 
-static const http_peer_limits_t LOAD_LIMITS = {
-    .connect_us = ANSWER_US,
+static const http_peer_limits_t LOAD_PEER_LIMITS = {
+    .connect_us = ANSWER_TIMEOUT_US,
     .idle_us = 5 * G_USEC_PER_SEC,
     .idle_max = 1,
     .head_max = 4096,
@@ -42,11 +42,11 @@
     char *address; /* of the control instance; NULL: none yet */
     inner_line_t *line;
     guint64 timer; /* of the next report */
-    gint64 asked_us;
-    GArray *reported;   /* loads in the report under way, or NULL */
-    GArray *parts;      /* part_copy_t, for the next report */
-    guint64 heard;      /* notes that this control instance told */
-    GHashTable *silent; /* address -> gint64, when it did not answer */
+    gint64 sent_us;
+    GArray *reported;         /* loads in the report under way, or NULL */
+    GArray *parts;            /* part_copy_t, for the next report */
+    guint64 parts_received;   /* notes that this control instance told */
+    GHashTable *unresponsive; /* address -> gint64, when it did not answer */
 };
 
 static void on_due(void *data);
@@ -75,7 +75,7 @@
 link_failed(load_link_t *link)
 {
     gint64 now = entry_now(link->entry);
-    g_hash_table_replace(link->silent, g_strdup(link->address),
+    g_hash_table_replace(link->unresponsive, g_strdup(link->address),
                          g_memdup2(&now, sizeof(now)));
     log_collector(link, "loads_lost");
     counter_add(counter_get("load_reports_failed_total", NULL, FALSE), 1);
@@ -83,16 +83,16 @@
 }
 
 static gboolean
-is_silent(const load_link_t *link, const char *address, gint64 for_us)
+is_unresponsive(const load_link_t *link, const char *address, gint64 for_us)
 {
-    const gint64 *since = g_hash_table_lookup(link->silent, address);
+    const gint64 *since = g_hash_table_lookup(link->unresponsive, address);
     return since != NULL && entry_now(link->entry) - *since < for_us;
 }
 
 /* The control instance to report to, or NULL; a copy. None that fell silent
- * within `silent_us`. */
+ * within `unresponsive_us`. */
 static char *
-choose_among(const load_link_t *link, gint64 silent_us)
+choose_responsive(const load_link_t *link, gint64 unresponsive_us)
 {
     const entry_t *e = link->entry;
     GArray *collectors = g_array_new(FALSE, FALSE, sizeof(collector_t));
@@ -100,7 +100,8 @@
     for (guint i = 0; i < collectors->len; i++) {
         collector_t *c = &g_array_index(collectors, collector_t, i);
         c->reachable =
-            c->reachable && !is_silent(link, addresses->pdata[i], silent_us);
+            c->reachable &&
+            !is_unresponsive(link, addresses->pdata[i], unresponsive_us);
     }
     gssize best =
         collector_pick((const collector_t *)collectors->data, collectors->len,
@@ -112,10 +113,11 @@
 }
 
 static char *
-choose(const load_link_t *link)
+choose_collector(const load_link_t *link)
 {
-    char *address = choose_among(link, SILENT_US);
-    return address != NULL ? address : choose_among(link, SILENT_LAST_US);
+    char *address = choose_responsive(link, UNRESPONSIVE_US);
+    return address != NULL ? address
+                           : choose_responsive(link, UNRESPONSIVE_FALLBACK_US);
 }
 
 static void
@@ -130,10 +132,11 @@
     }
     directory_apply_loads(e->directory, answer.loads, link->reported);
     directory_apply_parts(e->directory, answer.parts);
-    link->heard = answer.heard;
+    link->parts_received = answer.parts_received;
     entry_take_loads(e);
-    gint64 since = entry_now(e) - link->asked_us;
-    link_wait(link, MAX(answer.ask_ms * (gint64)MS - since, PAUSE_LEAST_US));
+    gint64 since = entry_now(e) - link->sent_us;
+    link_wait(link, MAX(answer.report_interval_ms * (gint64)MS - since,
+                        PAUSE_MIN_US));
     load_answer_clear(&answer);
 }
 
@@ -148,7 +151,7 @@
 
 /* Turns to a control instance; FALSE when its address is none. */
 static gboolean
-turn_to(load_link_t *link, char *address)
+connect_to(load_link_t *link, char *address)
 {
     if (g_strcmp0(link->address, address) == 0) {
         g_free(address);
@@ -157,7 +160,7 @@
     entry_t *e = link->entry;
     inner_line_setup_t setup = {.poller = e->poller,
                                 .timers = e->timers,
-                                .peer = LOAD_LIMITS,
+                                .peer = LOAD_PEER_LIMITS,
                                 .answer_max = ANSWER_MAX,
                                 .ops = &LOAD_OPS,
                                 .user = link,
@@ -166,7 +169,7 @@
     g_clear_pointer(&link->line, inner_line_destroy);
     g_free(link->address);
     link->address = address;
-    link->heard = 0;
+    link->parts_received = 0;
     link->line = inner_line_create(&setup, address);
     log_collector(link, "loads_reported_to");
     return link->line != NULL;
@@ -180,11 +183,12 @@
     load_report_t report = {.from = link->entry->settings->instance,
                             .loads = link->reported,
                             .parts = link->parts,
-                            .heard = link->heard};
+                            .parts_received = link->parts_received};
     GBytes *body = load_report_write(&report);
     g_array_set_size(link->parts, 0);
-    link->asked_us = entry_now(link->entry);
-    gboolean posted = inner_line_post(link->line, LOADS_PATH, body, ANSWER_US);
+    link->sent_us = entry_now(link->entry);
+    gboolean posted =
+        inner_line_post(link->line, LOADS_PATH, body, ANSWER_TIMEOUT_US);
     g_bytes_unref(body);
     if (!posted) {
         link_failed(link);
@@ -196,9 +200,10 @@
 {
     load_link_t *link = data;
     link->timer = 0;
-    char *address = link->entry->config != NULL ? choose(link) : NULL;
-    if (address == NULL || !turn_to(link, address)) {
-        link_wait(link, IDLE_US);
+    char *address =
+        link->entry->config != NULL ? choose_collector(link) : NULL;
+    if (address == NULL || !connect_to(link, address)) {
+        link_wait(link, IDLE_RETRY_US);
         return;
     }
     report(link);
@@ -210,9 +215,9 @@
     load_link_t *link = g_new0(load_link_t, 1);
     link->entry = e;
     link->parts = g_array_new(FALSE, FALSE, sizeof(part_copy_t));
-    link->silent =
+    link->unresponsive =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    link_wait(link, IDLE_US);
+    link_wait(link, IDLE_RETRY_US);
     return link;
 }
 
@@ -223,7 +228,7 @@
     g_clear_pointer(&link->line, inner_line_destroy);
     g_clear_pointer(&link->reported, g_array_unref);
     g_array_unref(link->parts);
-    g_hash_table_unref(link->silent);
+    g_hash_table_unref(link->unresponsive);
     g_free(link->address);
     g_free(link);
 }
@@ -233,7 +238,7 @@
                     const endpoint_t *endpoint)
 {
     part_copy_t note = {.part = part, .endpoint = endpoint->hash};
-    if (link->parts->len < PARTS_MOST) {
+    if (link->parts->len < PARTS_MAX) {
         g_array_append_val(link->parts, note);
     }
 }
--- a/carobloomd/gateway/load_wire.c
+++ b/carobloomd/gateway/load_wire.c
@@ -23,7 +23,7 @@
 G_STATIC_ASSERT(sizeof(load_record_t) == 24);
 
 static load_record_t
-load_pack(const endpoint_load_t *l)
+load_encode(const endpoint_load_t *l)
 {
     return (load_record_t){
         .endpoint = GUINT64_TO_LE(l->endpoint),
@@ -37,7 +37,7 @@
 }
 
 static endpoint_load_t
-load_unpack(const load_record_t *r)
+load_decode(const load_record_t *r)
 {
     return (endpoint_load_t){
         .endpoint = GUINT64_FROM_LE(r->endpoint),
@@ -55,7 +55,7 @@
     guint count = loads != NULL ? loads->len : 0;
     load_record_t *records = g_new(load_record_t, count);
     for (guint i = 0; i < count; i++) {
-        records[i] = load_pack(&g_array_index(loads, endpoint_load_t, i));
+        records[i] = load_encode(&g_array_index(loads, endpoint_load_t, i));
     }
     return g_variant_new_from_data(G_VARIANT_TYPE("ay"), records,
                                    count * sizeof(*records), TRUE, g_free,
@@ -65,30 +65,31 @@
 /* The bytes of a list of records of `size` each, and how many; FALSE when it
  * is none, or too long. */
 static gboolean
-records_of(GVariant *list, gsize size, gsize most, const guint8 **data,
-           gsize *count)
+records_read(GVariant *list, gsize size, gsize max_count, const guint8 **data,
+             gsize *count)
 {
     gsize length;
     *data = g_variant_get_fixed_array(list, &length, 1);
     *count = length / size;
-    return length % size == 0 && *count <= most;
+    return length % size == 0 && *count <= max_count;
 }
 
 /* NULL when it is no list of loads. */
 static GArray *
-loads_take(GVariant *list)
+loads_read(GVariant *list)
 {
     const guint8 *data;
     gsize count;
     GArray *loads = NULL;
     load_record_t record;
-    if (records_of(list, sizeof(record), LOAD_ENDPOINTS_MAX, &data, &count)) {
+    if (records_read(list, sizeof(record), LOAD_ENDPOINTS_MAX, &data,
+                     &count)) {
         loads = g_array_sized_new(FALSE, FALSE, sizeof(endpoint_load_t),
                                   (guint)count);
     }
     for (gsize i = 0; loads != NULL && i < count; i++) {
         memcpy(&record, data + i * sizeof(record), sizeof(record));
-        endpoint_load_t load = load_unpack(&record);
+        endpoint_load_t load = load_decode(&record);
         g_array_append_val(loads, load);
     }
     g_variant_unref(list);
@@ -101,9 +102,9 @@
     guint count = parts != NULL ? parts->len : 0;
     guint64 *words = g_new(guint64, 2 * (gsize)count);
     for (guint i = 0; i < count; i++) {
-        const part_copy_t *note = &g_array_index(parts, part_copy_t, i);
-        words[2 * i] = GUINT64_TO_LE(note->part);
-        words[2 * i + 1] = GUINT64_TO_LE(note->endpoint);
+        const part_copy_t *copy = &g_array_index(parts, part_copy_t, i);
+        words[2 * i] = GUINT64_TO_LE(copy->part);
+        words[2 * i + 1] = GUINT64_TO_LE(copy->endpoint);
     }
     return g_variant_new_from_data(G_VARIANT_TYPE("ay"), words,
                                    count * sizeof(part_copy_t), TRUE, g_free,
@@ -112,21 +113,21 @@
 
 /* NULL when it is no list of notes. */
 static GArray *
-parts_take(GVariant *list)
+parts_read(GVariant *list)
 {
     const guint8 *data;
     gsize count;
     GArray *parts = NULL;
     guint64 words[2]; /* a part and an endpoint */
-    if (records_of(list, sizeof(words), PART_FEED_MAX, &data, &count)) {
+    if (records_read(list, sizeof(words), PART_FEED_MAX, &data, &count)) {
         parts =
             g_array_sized_new(FALSE, FALSE, sizeof(part_copy_t), (guint)count);
     }
     for (gsize i = 0; parts != NULL && i < count; i++) {
         memcpy(words, data + i * sizeof(words), sizeof(words));
-        part_copy_t note = {.part = GUINT64_FROM_LE(words[0]),
+        part_copy_t copy = {.part = GUINT64_FROM_LE(words[0]),
                             .endpoint = GUINT64_FROM_LE(words[1])};
-        g_array_append_val(parts, note);
+        g_array_append_val(parts, copy);
     }
     g_variant_unref(list);
     return parts;
@@ -135,9 +136,9 @@
 GBytes *
 load_report_write(const load_report_t *r)
 {
-    return codec_write(g_variant_new("(s@ay@ayt)", r->from,
-                                     loads_variant(r->loads),
-                                     parts_variant(r->parts), r->heard));
+    return codec_write(
+        g_variant_new("(s@ay@ayt)", r->from, loads_variant(r->loads),
+                      parts_variant(r->parts), r->parts_received));
 }
 
 gboolean
@@ -150,9 +151,10 @@
     }
     GVariant *loads;
     GVariant *parts;
-    g_variant_get(v, "(s@ay@ayt)", &r->from, &loads, &parts, &r->heard);
-    r->loads = loads_take(loads);
-    r->parts = parts_take(parts);
+    g_variant_get(v, "(s@ay@ayt)", &r->from, &loads, &parts,
+                  &r->parts_received);
+    r->loads = loads_read(loads);
+    r->parts = parts_read(parts);
     g_variant_unref(v);
     if (r->loads == NULL || r->parts == NULL) {
         load_report_clear(r);
@@ -202,8 +204,8 @@
     GVariant *parts;
     g_variant_get(v, "(sstt@ay@ay)", &s->from, &s->data_centre, &s->sequence,
                   &s->base, &loads, &parts);
-    s->loads = loads_take(loads);
-    s->parts = parts_take(parts);
+    s->loads = loads_read(loads);
+    s->parts = parts_read(parts);
     g_variant_unref(v);
     if (s->loads == NULL || s->parts == NULL || !in_order(s->loads)) {
         load_sums_clear(s);
@@ -224,9 +226,9 @@
 GBytes *
 load_answer_write(const load_answer_t *a)
 {
-    return codec_write(g_variant_new("(u@ay@ayt)", a->ask_ms,
-                                     loads_variant(a->loads),
-                                     parts_variant(a->parts), a->heard));
+    return codec_write(g_variant_new(
+        "(u@ay@ayt)", a->report_interval_ms, loads_variant(a->loads),
+        parts_variant(a->parts), a->parts_received));
 }
 
 gboolean
@@ -239,9 +241,10 @@
     }
     GVariant *loads;
     GVariant *parts;
-    g_variant_get(v, "(u@ay@ayt)", &a->ask_ms, &loads, &parts, &a->heard);
-    a->loads = loads_take(loads);
-    a->parts = parts_take(parts);
+    g_variant_get(v, "(u@ay@ayt)", &a->report_interval_ms, &loads, &parts,
+                  &a->parts_received);
+    a->loads = loads_read(loads);
+    a->parts = parts_read(parts);
     g_variant_unref(v);
     if (a->loads == NULL || a->parts == NULL) {
         load_answer_clear(a);
--- a/carobloomd/gateway/sync_wire.c
+++ b/carobloomd/gateway/sync_wire.c
@@ -14,7 +14,7 @@
 #define ENVELOPE_TYPE "(stay)"
 
 enum {
-    PACKED_FROM = 16, /* leases */
+    PACKED_LEASES_MIN = 16, /* leases */
     /* A lease with names of the longest kind. */
     LEASES_BYTES_MAX = SYNC_LEASES_MAX * 1024,
 };
@@ -23,9 +23,9 @@
 sync_request_write(const sync_request_t *r)
 {
     return codec_write(g_variant_new(REQUEST_TYPE, r->instance, r->version,
-                                     r->epoch, r->cursor, r->held_cursor,
+                                     r->epoch, r->cursor, r->quarantine_cursor,
                                      r->limit_cursor, r->wait_ms,
-                                     r->takes_config, r->rest));
+                                     r->wants_config, r->more));
 }
 
 gboolean
@@ -37,8 +37,8 @@
         return FALSE;
     }
     g_variant_get(v, REQUEST_TYPE, &r->instance, &r->version, &r->epoch,
-                  &r->cursor, &r->held_cursor, &r->limit_cursor, &r->wait_ms,
-                  &r->takes_config, &r->rest);
+                  &r->cursor, &r->quarantine_cursor, &r->limit_cursor,
+                  &r->wait_ms, &r->wants_config, &r->more);
     g_variant_unref(v);
     return TRUE;
 }
@@ -92,14 +92,15 @@
 GBytes *
 sync_answer_write(const sync_answer_t *a)
 {
-    gboolean packed = a->leases != NULL && a->leases->len >= PACKED_FROM;
+    gboolean packed = a->leases != NULL && a->leases->len >= PACKED_LEASES_MIN;
     GBytes *leases = leases_write(a->leases, packed);
     GBytes *bytes = codec_write(g_variant_new(
         ANSWER_FORMAT, a->epoch, a->cursor, a->full, a->more, a->confirmed,
         a->version, a->base, a->delta != NULL, codec_bytes(a->delta), packed,
         codec_bytes(leases), names_variant(a->controls), a->data_centre,
-        a->entries, a->held_cursor, quarantine_orders_variant(a->held),
-        a->limit_cursor, limit_states_variant(a->limits)));
+        a->entries, a->quarantine_cursor,
+        quarantine_orders_variant(a->quarantine_orders), a->limit_cursor,
+        limit_states_variant(a->limits)));
     g_bytes_unref(leases);
     return bytes;
 }
@@ -121,7 +122,7 @@
 
 /* Takes the bytes. */
 static gboolean
-leases_take(GVariant *bytes, gboolean packed, sync_answer_t *a)
+leases_parse(GVariant *bytes, gboolean packed, sync_answer_t *a)
 {
     GVariant *list = leases_read(bytes, packed);
     if (list == NULL) {
@@ -130,30 +131,30 @@
     GVariantIter iter;
     endpoint_lease_t l;
     guchar state;
-    gboolean sound = g_variant_iter_init(&iter, list) <= SYNC_LEASES_MAX;
-    while (sound && g_variant_iter_next(
+    gboolean valid = g_variant_iter_init(&iter, list) <= SYNC_LEASES_MAX;
+    while (valid && g_variant_iter_next(
                         &iter, "(ssssxtuybxx)", &l.id, &l.service, &l.address,
                         &l.data_centre, &l.started_ms, &l.sequence, &l.slots,
                         &state, &l.reclaimable, &l.leaves_ms, &l.cold_ms)) {
         l.state = (lease_state_t)state;
-        sound = state < LEASE_STATES;
+        valid = state < LEASE_STATES;
         g_ptr_array_add(a->leases, g_memdup2(&l, sizeof(l)));
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static gboolean
-names_take(GVariant *list, sync_answer_t *a)
+names_parse(GVariant *list, sync_answer_t *a)
 {
     GVariantIter iter;
     char *name;
-    gboolean sound = g_variant_iter_init(&iter, list) <= SYNC_CONTROLS_MAX;
-    while (sound && g_variant_iter_next(&iter, "s", &name)) {
+    gboolean valid = g_variant_iter_init(&iter, list) <= SYNC_CONTROLS_MAX;
+    while (valid && g_variant_iter_next(&iter, "s", &name)) {
         g_ptr_array_add(a->controls, name);
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 gboolean
@@ -172,26 +173,26 @@
     GVariant *controls;
     GVariant *held;
     GVariant *limits;
-    gboolean news;
+    gboolean has_delta;
     gboolean packed;
     g_variant_get(v, ANSWER_FORMAT, &a->epoch, &a->cursor, &a->full, &a->more,
-                  &a->confirmed, &a->version, &a->base, &news, &delta, &packed,
-                  &leases, &controls, &a->data_centre, &a->entries,
-                  &a->held_cursor, &held, &a->limit_cursor, &limits);
-    a->held = quarantine_orders_take(held);
-    a->limits = limit_states_take(limits);
+                  &a->confirmed, &a->version, &a->base, &has_delta, &delta,
+                  &packed, &leases, &controls, &a->data_centre, &a->entries,
+                  &a->quarantine_cursor, &held, &a->limit_cursor, &limits);
+    a->quarantine_orders = quarantine_orders_read(held);
+    a->limits = limit_states_read(limits);
     a->delta = codec_take_bytes(delta);
-    if (!news) {
+    if (!has_delta) {
         g_clear_pointer(&a->delta, g_bytes_unref);
     }
-    gboolean sound = leases_take(leases, packed, a);
-    sound = names_take(controls, a) && sound && a->held != NULL &&
-            a->limits != NULL;
+    gboolean valid = leases_parse(leases, packed, a);
+    valid = names_parse(controls, a) && valid &&
+            a->quarantine_orders != NULL && a->limits != NULL;
     g_variant_unref(v);
-    if (!sound) {
+    if (!valid) {
         sync_answer_clear(a);
     }
-    return sound;
+    return valid;
 }
 
 void
@@ -199,7 +200,7 @@
 {
     g_clear_pointer(&a->delta, g_bytes_unref);
     g_clear_pointer(&a->leases, g_ptr_array_unref);
-    g_clear_pointer(&a->held, g_array_unref);
+    g_clear_pointer(&a->quarantine_orders, g_array_unref);
     g_clear_pointer(&a->limits, g_array_unref);
     g_clear_pointer(&a->controls, g_ptr_array_unref);
     g_clear_pointer(&a->data_centre, g_free);
--- a/carobloomd/gateway/traffic.c
+++ b/carobloomd/gateway/traffic.c
@@ -10,11 +10,15 @@
 } reach_t;
 
 static const char *const KIND_NAMES[TRAFFIC_KINDS] = {
-    [TRAFFIC_SYNC] = "sync",           [TRAFFIC_LOADS] = "loads",
-    [TRAFFIC_CRASHES] = "crashes",     [TRAFFIC_LIMITS] = "limits",
-    [TRAFFIC_USAGE] = "usage",         [TRAFFIC_VOTER] = "voter",
-    [TRAFFIC_LOAD_SUMS] = "load_sums", [TRAFFIC_CLOCK] = "clock",
-    [TRAFFIC_WORK] = "work",
+    [TRAFFIC_SYNC] = "sync",
+    [TRAFFIC_LOADS] = "loads",
+    [TRAFFIC_CRASHES] = "crashes",
+    [TRAFFIC_LIMITS] = "limits",
+    [TRAFFIC_USAGE] = "usage",
+    [TRAFFIC_VOTER] = "voter",
+    [TRAFFIC_LOAD_SUMS] = "load_sums",
+    [TRAFFIC_CLOCK] = "clock",
+    [TRAFFIC_ENDPOINT_REQUESTS] = "work",
 };
 
 static const char *const REACH_NAMES[REACHES] = {
@@ -25,7 +29,7 @@
 
 struct traffic {
     char *data_centre;
-    GHashTable *places; /* IP:PORT -> data centre */
+    GHashTable *data_centres; /* IP:PORT -> data centre */
 };
 
 traffic_t *
@@ -33,25 +37,27 @@
 {
     traffic_t *t = g_new0(traffic_t, 1);
     t->data_centre = g_strdup(data_centre);
-    t->places = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    t->data_centres =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return t;
 }
 
 void
 traffic_destroy(traffic_t *t)
 {
-    g_hash_table_unref(t->places);
+    g_hash_table_unref(t->data_centres);
     g_free(t->data_centre);
     g_free(t);
 }
 
 void
-traffic_note_place(traffic_t *t, const char *address, const char *data_centre)
+traffic_set_data_centre(traffic_t *t, const char *address,
+                        const char *data_centre)
 {
-    const char *known = g_hash_table_lookup(t->places, address);
-    gboolean told = data_centre != NULL && *data_centre != '\0';
-    if (told && g_strcmp0(known, data_centre) != 0) {
-        g_hash_table_replace(t->places, g_strdup(address),
+    const char *known = g_hash_table_lookup(t->data_centres, address);
+    gboolean is_known = data_centre != NULL && *data_centre != '\0';
+    if (is_known && g_strcmp0(known, data_centre) != 0) {
+        g_hash_table_replace(t->data_centres, g_strdup(address),
                              g_strdup(data_centre));
     }
 }
@@ -88,17 +94,18 @@
 traffic_count(const traffic_t *t, client_call_t *call, traffic_kind_t kind,
               const char *address)
 {
-    traffic_count_into(t, call, kind, g_hash_table_lookup(t->places, address));
+    traffic_count_into(t, call, kind,
+                       g_hash_table_lookup(t->data_centres, address));
 }
 
 static void
-log_way(traffic_kind_t kind, reach_t reach, const char *way,
-        const counter_t *counter)
+log_direction(traffic_kind_t kind, reach_t reach, const char *direction,
+              const counter_t *counter)
 {
     char key[64];
     if (counter_value(counter) > 0) {
         g_snprintf(key, sizeof(key), "%s_%s_%s", KIND_NAMES[kind],
-                   REACH_NAMES[reach], way);
+                   REACH_NAMES[reach], direction);
         event_log_number(key, counter_value(counter));
     }
 }
@@ -112,8 +119,8 @@
     for (guint kind = 0; kind < TRAFFIC_KINDS; kind++) {
         for (guint reach = 0; reach < REACHES; reach++) {
             const http_traffic_t *t = counters_of(kind, reach);
-            log_way(kind, reach, "sent", t->sent);
-            log_way(kind, reach, "received", t->received);
+            log_direction(kind, reach, "sent", t->sent);
+            log_direction(kind, reach, "received", t->received);
         }
     }
     event_log_end();
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -11,15 +11,15 @@
 enum {
     MS = 1000,
     /* Longer than a change of leaders leaves the new one busy. */
-    ANSWER_US = 600 * MS,
+    ANSWER_TIMEOUT_US = 600 * MS,
     /* While nobody is known to lead. */
-    IDLE_US = 150 * MS,
-    PAUSE_LEAST_US = 50 * MS,
+    IDLE_RETRY_US = 150 * MS,
+    PAUSE_MIN_US = 50 * MS,
     ANSWER_MAX = 4096, /* bytes */
 };
 
-static const http_peer_limits_t USAGE_LIMITS = {
-    .connect_us = ANSWER_US,
+static const http_peer_limits_t USAGE_PEER_LIMITS = {
+    .connect_us = ANSWER_TIMEOUT_US,
     .idle_us = 5 * G_USEC_PER_SEC,
     .idle_max = 1,
     .head_max = 4096,
@@ -30,11 +30,11 @@
     duty_set_t set;
     guint64 incarnation;
     usage_tally_t *tally;
-    gint64 ahead_us; /* the site's time of day less clock_boot_us */
-    char *address;   /* of the control instance reported to */
+    gint64 clock_offset_us; /* the site's time of day less clock_boot_us */
+    char *address;          /* of the control instance reported to */
     inner_line_t *line;
     guint64 timer;
-    gint64 asked_us; /* clock_boot_us */
+    gint64 sent_us; /* clock_boot_us */
 };
 
 static void on_due(void *data);
@@ -51,7 +51,7 @@
 static guint64
 window_now(const usage_link_t *link)
 {
-    gint64 wall_us = clock_boot_us() + link->ahead_us;
+    gint64 wall_us = clock_boot_us() + link->clock_offset_us;
     double window_us = link->entry->settings->usage_window_s * G_USEC_PER_SEC;
     return (guint64)((double)wall_us / window_us);
 }
@@ -70,7 +70,7 @@
 /* ---- the report ---- */
 
 static GArray *
-works_of(const entry_t *e)
+service_works(const entry_t *e)
 {
     GArray *works = g_array_new(FALSE, FALSE, sizeof(service_work_t));
     GHashTableIter iter;
@@ -106,16 +106,16 @@
         .windows = usage_tally_windows(link->tally),
     };
     if (link->set.capacity) {
-        report.works = works_of(e);
+        report.works = service_works(e);
         report.supplies = directory_supplies(e->directory, entry_now(e));
     }
     GBytes *body = usage_report_write(&report);
     g_ptr_array_unref(report.windows);
     g_clear_pointer(&report.works, g_array_unref);
     g_clear_pointer(&report.supplies, g_array_unref);
-    link->asked_us = clock_boot_us();
-    if (!inner_line_post(link->line, USAGE_PATH, body, ANSWER_US)) {
-        link_wait(link, IDLE_US);
+    link->sent_us = clock_boot_us();
+    if (!inner_line_post(link->line, USAGE_PATH, body, ANSWER_TIMEOUT_US)) {
+        link_wait(link, IDLE_RETRY_US);
     }
     g_bytes_unref(body);
 }
@@ -123,10 +123,11 @@
 /* The answer was written about halfway between the question and now; both ways
  * take some milliseconds. */
 static void
-take_clock(usage_link_t *link, gint64 wall_us)
+update_clock_offset(usage_link_t *link, gint64 wall_us)
 {
     gint64 now = clock_boot_us();
-    link->ahead_us = wall_us - (link->asked_us + (now - link->asked_us) / 2);
+    link->clock_offset_us =
+        wall_us - (link->sent_us + (now - link->sent_us) / 2);
 }
 
 static void
@@ -135,29 +136,30 @@
     usage_link_t *link = user;
     usage_answer_t answer;
     if (status != 200 || !usage_answer_read(body, &answer)) {
-        link_wait(link, IDLE_US); /* another leads by now */
+        link_wait(link, IDLE_RETRY_US); /* another leads by now */
         return;
     }
-    take_clock(link, answer.wall_us);
-    if (answer.fixed_through != 0) {
-        usage_tally_drop_through(link->tally, answer.fixed_through);
+    update_clock_offset(link, answer.wall_us);
+    if (answer.last_finalized != 0) {
+        usage_tally_drop_through(link->tally, answer.last_finalized);
     }
-    gint64 since = clock_boot_us() - link->asked_us;
-    link_wait(link, MAX(answer.ask_ms * (gint64)MS - since, PAUSE_LEAST_US));
+    gint64 since = clock_boot_us() - link->sent_us;
+    link_wait(link, MAX(answer.report_interval_ms * (gint64)MS - since,
+                        PAUSE_MIN_US));
 }
 
 static void
 on_failed(void *user)
 {
     counter_add(counter_get("usage_reports_failed_total", NULL, FALSE), 1);
-    link_wait(user, IDLE_US); /* the next report says it all again */
+    link_wait(user, IDLE_RETRY_US); /* the next report says it all again */
 }
 
 static const inner_line_ops_t USAGE_OPS = {.answered = on_answered,
                                            .failed = on_failed};
 
 static gboolean
-turn_to(usage_link_t *link, const char *address)
+connect_to(usage_link_t *link, const char *address)
 {
     if (g_strcmp0(link->address, address) == 0) {
         return link->line != NULL;
@@ -165,7 +167,7 @@
     entry_t *e = link->entry;
     inner_line_setup_t setup = {.poller = e->poller,
                                 .timers = e->timers,
-                                .peer = USAGE_LIMITS,
+                                .peer = USAGE_PEER_LIMITS,
                                 .answer_max = ANSWER_MAX,
                                 .ops = &USAGE_OPS,
                                 .user = link,
@@ -189,8 +191,8 @@
     entry_t *e = link->entry;
     const char *leader = control_links_leader(e);
     link->timer = 0;
-    if (e->config == NULL || leader == NULL || !turn_to(link, leader)) {
-        link_wait(link, IDLE_US);
+    if (e->config == NULL || leader == NULL || !connect_to(link, leader)) {
+        link_wait(link, IDLE_RETRY_US);
         return;
     }
     report(link);
@@ -211,8 +213,8 @@
     link->set = set;
     link->incarnation = (guint64)g_random_int() << 32 | g_random_int();
     link->tally = usage_tally_create();
-    link->ahead_us = g_get_real_time() - clock_boot_us();
-    link_wait(link, IDLE_US);
+    link->clock_offset_us = g_get_real_time() - clock_boot_us();
+    link_wait(link, IDLE_RETRY_US);
     return link;
 }
 
@@ -232,5 +234,6 @@
     g_string_append_printf(
         text, "usage reported to %s, own clock off by %ld ms\n",
         link->address != NULL ? link->address : "none",
-        (long)((g_get_real_time() - clock_boot_us() - link->ahead_us) / MS));
+        (long)((g_get_real_time() - clock_boot_us() - link->clock_offset_us) /
+               MS));
 }
--- a/carobloomd/gateway/usage_wire.c
+++ b/carobloomd/gateway/usage_wire.c
@@ -14,7 +14,7 @@
 #define COMMAND_TYPE "(yt" COUNTS_TYPE ")"
 #define LEDGER_TYPE "a(bt" COUNTS_TYPE ")"
 
-typedef enum { COMMAND_FIX, COMMAND_TAKE } usage_command_t;
+typedef enum { COMMAND_FINALIZE, COMMAND_ACCEPT } usage_command_t;
 
 /* ---- counts ---- */
 
@@ -32,7 +32,7 @@
 
 /* NULL when there are too many. */
 static usage_window_t *
-window_take(guint64 window, GVariant *counts)
+window_read(guint64 window, GVariant *counts)
 {
     usage_window_t *w = NULL;
     if (g_variant_n_children(counts) <= USAGE_TEAMS_MAX) {
@@ -101,52 +101,52 @@
 }
 
 static gboolean
-windows_take(GVariant *list, usage_report_t *r)
+windows_read(GVariant *list, usage_report_t *r)
 {
     GVariantIter iter;
     guint64 window;
     GVariant *counts;
-    gboolean sound = g_variant_iter_init(&iter, list) <= USAGE_WINDOWS_MAX;
-    while (sound && g_variant_iter_next(&iter, "(t@" COUNTS_TYPE ")", &window,
+    gboolean valid = g_variant_iter_init(&iter, list) <= USAGE_WINDOWS_MAX;
+    while (valid && g_variant_iter_next(&iter, "(t@" COUNTS_TYPE ")", &window,
                                         &counts)) {
-        usage_window_t *w = window_take(window, counts);
-        sound = w != NULL;
-        if (sound) {
+        usage_window_t *w = window_read(window, counts);
+        valid = w != NULL;
+        if (valid) {
             g_ptr_array_add(r->windows, w);
         }
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static gboolean
-works_take(GVariant *list, usage_report_t *r)
+works_read(GVariant *list, usage_report_t *r)
 {
     GVariantIter iter;
     service_work_t w = {0};
-    gboolean sound = g_variant_iter_init(&iter, list) <= USAGE_WORKS_MAX;
-    while (sound && g_variant_iter_next(&iter, "(sutttd)", &w.service,
+    gboolean valid = g_variant_iter_init(&iter, list) <= USAGE_WORKS_MAX;
+    while (valid && g_variant_iter_next(&iter, "(sutttd)", &w.service,
                                         &w.running, &w.arrived, &w.turned_away,
                                         &w.read_tokens, &w.tokens_per_ms)) {
         g_array_append_val(r->works, w);
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static gboolean
-supplies_take(GVariant *list, usage_report_t *r)
+supplies_read(GVariant *list, usage_report_t *r)
 {
     GVariantIter iter;
     engine_supply_t s = {0};
-    gboolean sound = g_variant_iter_init(&iter, list) <= USAGE_SUPPLIES_MAX;
-    while (sound &&
+    gboolean valid = g_variant_iter_init(&iter, list) <= USAGE_SUPPLIES_MAX;
+    while (valid &&
            g_variant_iter_next(&iter, "(ssuuu)", &s.service, &s.data_centre,
                                &s.slots, &s.on_demand, &s.reclaimable)) {
         g_array_append_val(r->supplies, s);
     }
     g_variant_unref(list);
-    return sound;
+    return valid;
 }
 
 static void
@@ -173,14 +173,14 @@
     r->supplies = engine_supplies_create();
     g_variant_get(v, REPORT_FORMAT, &r->from, &r->incarnation, &windows,
                   &works, &supplies);
-    gboolean sound = windows_take(windows, r);
-    sound = works_take(works, r) && sound;
-    sound = supplies_take(supplies, r) && sound;
+    gboolean valid = windows_read(windows, r);
+    valid = works_read(works, r) && valid;
+    valid = supplies_read(supplies, r) && valid;
     g_variant_unref(v);
-    if (!sound) {
+    if (!valid) {
         usage_report_clear(r);
     }
-    return sound;
+    return valid;
 }
 
 void
@@ -195,8 +195,8 @@
 GBytes *
 usage_answer_write(const usage_answer_t *a)
 {
-    return codec_write(
-        g_variant_new(ANSWER_TYPE, a->wall_us, a->fixed_through, a->ask_ms));
+    return codec_write(g_variant_new(
+        ANSWER_TYPE, a->wall_us, a->last_finalized, a->report_interval_ms));
 }
 
 gboolean
@@ -207,7 +207,8 @@
     if (v == NULL) {
         return FALSE;
     }
-    g_variant_get(v, ANSWER_TYPE, &a->wall_us, &a->fixed_through, &a->ask_ms);
+    g_variant_get(v, ANSWER_TYPE, &a->wall_us, &a->last_finalized,
+                  &a->report_interval_ms);
     g_variant_unref(v);
     return TRUE;
 }
@@ -215,15 +216,15 @@
 /* ---- clocks ---- */
 
 GBytes *
-clock_word_write(const clock_word_t *w)
+clock_report_write(const clock_report_t *w)
 {
     return codec_write(g_variant_new(CLOCK_TYPE, w->from, w->wall_us));
 }
 
 gboolean
-clock_word_read(GBytes *bytes, clock_word_t *w)
+clock_report_read(GBytes *bytes, clock_report_t *w)
 {
-    *w = (clock_word_t){0};
+    *w = (clock_report_t){0};
     GVariant *v = codec_read(bytes, CLOCK_TYPE);
     if (v == NULL) {
         return FALSE;
@@ -234,7 +235,7 @@
 }
 
 void
-clock_word_clear(clock_word_t *w)
+clock_report_clear(clock_report_t *w)
 {
     g_clear_pointer(&w->from, g_free);
 }
@@ -242,18 +243,18 @@
 /* ---- commands ---- */
 
 GBytes *
-usage_fix_command(const usage_window_t *figures)
+usage_finalize_command(const usage_window_t *figures)
 {
     return codec_write(g_variant_new("(yt@" COUNTS_TYPE ")",
-                                     (guchar)COMMAND_FIX, figures->window,
+                                     (guchar)COMMAND_FINALIZE, figures->window,
                                      counts_variant(figures->counts)));
 }
 
 GBytes *
-usage_take_command(guint64 window)
+usage_accept_command(guint64 window)
 {
     return codec_write(g_variant_new("(yt@" COUNTS_TYPE ")",
-                                     (guchar)COMMAND_TAKE, window,
+                                     (guchar)COMMAND_ACCEPT, window,
                                      counts_variant(NULL)));
 }
 
@@ -268,17 +269,17 @@
     guint64 window;
     GVariant *counts;
     g_variant_get(v, "(yt@" COUNTS_TYPE ")", &kind, &window, &counts);
-    usage_window_t *figures = window_take(window, counts);
+    usage_window_t *figures = window_read(window, counts);
     g_variant_unref(v);
     if (figures == NULL) {
         return FALSE;
     }
-    if (kind == COMMAND_FIX) {
+    if (kind == COMMAND_FINALIZE) {
         return usage_ledger_finalize(ledger, figures);
     }
     usage_window_free(figures);
     usage_ledger_mark_accepted(ledger, window);
-    return kind == COMMAND_TAKE;
+    return kind == COMMAND_ACCEPT;
 }
 
 GBytes *
@@ -288,11 +289,11 @@
     const GArray *windows = usage_ledger_windows(ledger);
     g_variant_builder_init(&b, G_VARIANT_TYPE(LEDGER_TYPE));
     for (guint i = 0; i < windows->len; i++) {
-        const finalized_window_t *fixed =
+        const finalized_window_t *finalized =
             &g_array_index(windows, finalized_window_t, i);
-        g_variant_builder_add(&b, "(bt@" COUNTS_TYPE ")", fixed->accepted,
-                              fixed->figures->window,
-                              counts_variant(fixed->figures->counts));
+        g_variant_builder_add(&b, "(bt@" COUNTS_TYPE ")", finalized->accepted,
+                              finalized->figures->window,
+                              counts_variant(finalized->figures->counts));
     }
     return codec_write(g_variant_builder_end(&b));
 }
@@ -306,15 +307,15 @@
     }
     usage_ledger_t *ledger = usage_ledger_create();
     GVariantIter iter;
-    gboolean taken;
+    gboolean accepted;
     guint64 window;
     GVariant *counts;
     g_variant_iter_init(&iter, v);
-    while (g_variant_iter_next(&iter, "(bt@" COUNTS_TYPE ")", &taken, &window,
-                               &counts)) {
-        usage_window_t *figures = window_take(window, counts);
+    while (g_variant_iter_next(&iter, "(bt@" COUNTS_TYPE ")", &accepted,
+                               &window, &counts)) {
+        usage_window_t *figures = window_read(window, counts);
         if (figures != NULL) {
-            usage_ledger_restore(ledger, figures, taken);
+            usage_ledger_restore(ledger, figures, accepted);
         }
     }
     g_variant_unref(v);
--- a/include/carobloom/gateway/crash_wire.h
+++ b/include/carobloom/gateway/crash_wire.h
@@ -11,9 +11,10 @@
 
 enum {
     /* Of one report: at most 8 KB. */
-    CRASH_REPORT_ENDS = 16,
-    CRASH_REPORT_RUNS = 256, /* of all these ends; or of one, if it has more */
-    CRASH_REPORT_ANSWERED = 256,
+    CRASH_REPORT_ENDS_MAX = 16,
+    CRASH_REPORT_RUNS_MAX =
+        256, /* of all these ends; or of one, if it has more */
+    CRASH_REPORT_ANSWERED_MAX = 256,
     QUARANTINE_ORDERS_MAX = 4096,
 };
 
@@ -32,7 +33,7 @@
 #define QUARANTINE_ORDERS_TYPE "a(txxsbus)"
 GVariant *quarantine_orders_variant(const GArray *orders);
 /* Sinks the variant; NULL when there are too many. */
-GArray *quarantine_orders_take(GVariant *variant);
+GArray *quarantine_orders_read(GVariant *variant);
 
 /* What is kept on the disk: the orders and when they were written. */
 GBytes *quarantine_file_write(const GArray *orders, gint64 wall_us);
--- a/include/carobloom/gateway/limit_wire.h
+++ b/include/carobloom/gateway/limit_wire.h
@@ -12,18 +12,18 @@
 #define LIMITS_PATH "/limits" /* entry to the owning control */
 #define LIMIT_STATES_TYPE "a(tbd)"
 
-enum { LIMIT_ASKS_MAX = 512 };
+enum { LIMIT_REQUESTS_MAX = 512 };
 
 typedef struct {
     char *from;
     guint64 incarnation; /* drawn at its start */
     guint64 sequence;    /* from 1 */
-    GArray *asks;        /* limit_request_t */
+    GArray *requests;    /* limit_request_t */
 } limit_report_t;
 
 typedef struct {
-    guint32 ask_ms; /* between two asks for sends */
-    GArray *grants; /* limit_grant_t, in the order of the asks */
+    guint32 report_interval_ms; /* between two asks for sends */
+    GArray *grants;             /* limit_grant_t, in the order of the asks */
 } limit_answer_t;
 
 GBytes *limit_report_write(const limit_report_t *report);
@@ -36,6 +36,6 @@
 /* limit_state_t as a part of another message. NULL gives none. */
 GVariant *limit_states_variant(const GArray *states);
 /* Takes the part over; NULL when it is no list of sound states. */
-GArray *limit_states_take(GVariant *list);
+GArray *limit_states_read(GVariant *list);
 
 #endif
--- a/include/carobloom/gateway/load_wire.h
+++ b/include/carobloom/gateway/load_wire.h
@@ -21,17 +21,17 @@
 
 /* Of an entry instance. */
 typedef struct {
-    char *from;    /* name of the instance */
-    GArray *loads; /* endpoint_load_t */
-    GArray *parts; /* part_copy_t, since the last report */
-    guint64 heard; /* how many notes it was told; see part_feed.h */
+    char *from;             /* name of the instance */
+    GArray *loads;          /* endpoint_load_t */
+    GArray *parts;          /* part_copy_t, since the last report */
+    guint64 parts_received; /* how many notes it was told; see part_feed.h */
 } load_report_t;
 
 typedef struct {
-    guint32 ask_ms; /* until the next report is asked for */
-    GArray *loads;  /* endpoint_load_t, over all entry instances */
-    GArray *parts;  /* part_copy_t that were not told before */
-    guint64 heard;  /* to be said with the next report */
+    guint32 report_interval_ms; /* until the next report is asked for */
+    GArray *loads;              /* endpoint_load_t, over all entry instances */
+    GArray *parts;              /* part_copy_t that were not told before */
+    guint64 parts_received;     /* to be said with the next report */
 } load_answer_t;
 
 /* Of all entry instances that report to one control instance, to another. */
--- a/include/carobloom/gateway/sync_wire.h
+++ b/include/carobloom/gateway/sync_wire.h
@@ -25,18 +25,19 @@
     guint64 version; /* of the configuration here; 0 for none */
     guint64 epoch;   /* of the control instance's start that `cursor` is of */
     guint64 cursor;  /* leases changed up to here are known */
-    guint64 held_cursor;   /* orders to hold requests back, up to here, too */
+    guint64
+        quarantine_cursor; /* orders to hold requests back, up to here, too */
     guint64 limit_cursor;  /* limits of endpoints, the same */
     guint32 wait_ms;       /* to be held for, at most, when there is no news */
-    gboolean takes_config; /* news of the configuration are to be sent here */
-    gboolean rest;         /* the last answer said that there are more */
+    gboolean wants_config; /* news of the configuration are to be sent here */
+    gboolean more;         /* the last answer said that there are more */
 } sync_request_t;
 
 typedef struct {
     guint64 epoch;
     guint64 cursor;
-    guint64 held_cursor;
-    GArray *held; /* quarantine_order_t, changed since */
+    guint64 quarantine_cursor;
+    GArray *quarantine_orders; /* quarantine_order_t, changed since */
     guint64 limit_cursor;
     GArray *limits;     /* limit_state_t, changed since */
     gboolean full;      /* `leases` are from the first on, not the changes */
--- a/include/carobloom/gateway/traffic.h
+++ b/include/carobloom/gateway/traffic.h
@@ -18,7 +18,7 @@
     TRAFFIC_VOTER,     /* the replicated log */
     TRAFFIC_LOAD_SUMS, /* requests under way, between control instances */
     TRAFFIC_CLOCK,
-    TRAFFIC_WORK, /* requests to endpoints and their answers */
+    TRAFFIC_ENDPOINT_REQUESTS, /* requests to endpoints and their answers */
     TRAFFIC_KINDS,
 } traffic_kind_t;
 
@@ -29,8 +29,8 @@
 traffic_t *traffic_create(const char *data_centre);
 void traffic_destroy(traffic_t *traffic);
 /* The process at IP:PORT stands in `data_centre`; NULL or empty: not told. */
-void traffic_note_place(traffic_t *traffic, const char *address,
-                        const char *data_centre);
+void traffic_set_data_centre(traffic_t *traffic, const char *address,
+                             const char *data_centre);
 /* Counts a call that was just made to IP:PORT, and its answer. */
 void traffic_count(const traffic_t *traffic, client_call_t *call,
                    traffic_kind_t kind, const char *address);
--- a/include/carobloom/gateway/usage_wire.h
+++ b/include/carobloom/gateway/usage_wire.h
@@ -30,9 +30,9 @@
 void usage_report_clear(usage_report_t *report);
 
 typedef struct {
-    gint64 wall_us;        /* the site's time of day */
-    guint64 fixed_through; /* windows up to this one take no more counts */
-    guint32 ask_ms;        /* until the next report */
+    gint64 wall_us;         /* the site's time of day */
+    guint64 last_finalized; /* windows up to this one take no more counts */
+    guint32 report_interval_ms; /* until the next report */
 } usage_answer_t;
 
 GBytes *usage_answer_write(const usage_answer_t *answer);
@@ -42,15 +42,15 @@
 typedef struct {
     char *from;
     gint64 wall_us;
-} clock_word_t;
+} clock_report_t;
 
-GBytes *clock_word_write(const clock_word_t *word);
-gboolean clock_word_read(GBytes *bytes, clock_word_t *word);
-void clock_word_clear(clock_word_t *word);
+GBytes *clock_report_write(const clock_report_t *report);
+gboolean clock_report_read(GBytes *bytes, clock_report_t *report);
+void clock_report_clear(clock_report_t *report);
 
 /* Commands of the log. */
-GBytes *usage_fix_command(const usage_window_t *figures);
-GBytes *usage_take_command(guint64 window);
+GBytes *usage_finalize_command(const usage_window_t *figures);
+GBytes *usage_accept_command(guint64 window);
 /* FALSE when it is no command, or changes nothing. */
 gboolean usage_command_apply(usage_ledger_t *ledger, GBytes *command);
 /* The whole ledger. */
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -276,7 +276,7 @@
     enum { MESSAGE_BYTES = 80, ASK_BYTES = 56, ASKS = 4 };
     limit_report_t report = {
         .from = "front-data-centre-1",
-        .asks = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
+        .requests = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
     directory_t *d = directory_of(SMALL);
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
@@ -297,14 +297,14 @@
             endpoint_limit_has_update(e->limit)) {
             limit_request_t ask = {.endpoint = e->hash};
             endpoint_limit_fill_request(e->limit, &ask, 2 * SECOND);
-            g_array_append_val(report.asks, ask);
+            g_array_append_val(report.requests, ask);
         }
     }
-    CU_ASSERT_EQUAL(report.asks->len, ASKS);
+    CU_ASSERT_EQUAL(report.requests->len, ASKS);
     GBytes *bytes = limit_report_write(&report);
     CU_ASSERT(g_bytes_get_size(bytes) <= MESSAGE_BYTES + ASKS * ASK_BYTES);
     g_bytes_unref(bytes);
-    g_array_unref(report.asks);
+    g_array_unref(report.requests);
     directory_destroy(d);
 }
 
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -297,8 +297,8 @@
     usage_window_t *second = usage_window_create(100);
     usage_window_add(first, "t", 7);
     usage_window_add(second, "t", 8);
-    GBytes *a = usage_fix_command(first);
-    GBytes *b = usage_fix_command(second);
+    GBytes *a = usage_finalize_command(first);
+    GBytes *b = usage_finalize_command(second);
     CU_ASSERT(usage_command_apply(ledger, a));
     CU_ASSERT_FALSE(usage_command_apply(ledger, b));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(ledger), 100);
@@ -310,7 +310,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(untold);
     CU_ASSERT_EQUAL(count_of(untold, "t"), 7);
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 100));
-    GBytes *take = usage_take_command(100);
+    GBytes *take = usage_accept_command(100);
     CU_ASSERT(usage_command_apply(restored, take));
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 0));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(restored), 100);
@@ -337,12 +337,12 @@
 
 static void
 check_state(const log_state_t *state, guint64 version, const char *text,
-            guint64 fixed_through)
+            guint64 last_finalized)
 {
     CU_ASSERT_EQUAL(state->version, version);
     CU_ASSERT(str_equal(str_from_bytes(state->text), str_from_cstr(text)));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(state->usage),
-                    fixed_through);
+                    last_finalized);
 }
 
 /* A log, or a snapshot, that was written when it held configurations only is
@@ -359,7 +359,7 @@
     GBytes *older = old_command(6, "{}");
     usage_window_t *w = usage_window_create(100);
     usage_window_add(w, "t", 7);
-    GBytes *fix = usage_fix_command(w);
+    GBytes *fix = usage_finalize_command(w);
     GBytes *command = log_usage_command(fix);
     CU_ASSERT_EQUAL(log_state_apply(&state, empty), 0);
     CU_ASSERT_EQUAL(log_state_apply(&state, old), LOG_STATE_CONFIG);
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -155,11 +155,11 @@
     load_report_t report = {.from = "entry-1",
                             .loads = loads_of(77, 3),
                             .parts = parts_of(9, 2),
-                            .heard = 41};
-    load_answer_t answer = {.ask_ms = 250,
+                            .parts_received = 41};
+    load_answer_t answer = {.report_interval_ms = 250,
                             .loads = report.loads,
                             .parts = report.parts,
-                            .heard = 43};
+                            .parts_received = 43};
     load_report_t reported;
     load_answer_t answered;
     GBytes *question = load_report_write(&report);
@@ -168,12 +168,12 @@
     CU_ASSERT_STRING_EQUAL(reported.from, "entry-1");
     check_load(reported.loads);
     check_parts(reported.parts, 9, 2);
-    CU_ASSERT_EQUAL(reported.heard, 41);
+    CU_ASSERT_EQUAL(reported.parts_received, 41);
     CU_ASSERT_FATAL(load_answer_read(reply, &answered));
-    CU_ASSERT_EQUAL(answered.ask_ms, 250);
+    CU_ASSERT_EQUAL(answered.report_interval_ms, 250);
     check_load(answered.loads);
     check_parts(answered.parts, 9, 2);
-    CU_ASSERT_EQUAL(answered.heard, 43);
+    CU_ASSERT_EQUAL(answered.parts_received, 43);
     damage(question, read_report);
     damage(reply, read_answer);
     load_report_clear(&reported);
--- a/tests/test_parsers.c
+++ b/tests/test_parsers.c
@@ -219,17 +219,17 @@
         .endpoint = 7, .limited = TRUE, .rate = 2.5, .outstanding = 3};
     limit_grant_t grant = {.state = {7, TRUE, 2.5}, .granted = 4};
     limit_report_t report = {.from = (char *)"entry-1", .sequence = 9};
-    limit_answer_t answer = {.ask_ms = 100};
+    limit_answer_t answer = {.report_interval_ms = 100};
     limit_report_t read;
-    report.asks = g_array_new(FALSE, FALSE, sizeof(ask));
-    g_array_append_val(report.asks, ask);
+    report.requests = g_array_new(FALSE, FALSE, sizeof(ask));
+    g_array_append_val(report.requests, ask);
     answer.grants = g_array_new(FALSE, FALSE, sizeof(grant));
     g_array_append_val(answer.grants, grant);
     GBytes *written = limit_report_write(&report);
     CU_ASSERT_FATAL(limit_report_read(written, &read));
     CU_ASSERT_EQUAL(read.sequence, 9);
-    CU_ASSERT_EQUAL(g_array_index(read.asks, limit_request_t, 0).outstanding,
-                    3);
+    CU_ASSERT_EQUAL(
+        g_array_index(read.requests, limit_request_t, 0).outstanding, 3);
     limit_report_clear(&read);
     mutate(written, read_limits, 41);
     g_bytes_unref(written);
@@ -238,12 +238,12 @@
     g_bytes_unref(written);
     static const double RATES[] = {-1, NAN, INFINITY, 1e300};
     for (gsize i = 0; i < G_N_ELEMENTS(RATES); i++) {
-        g_array_index(report.asks, limit_request_t, 0).rate = RATES[i];
+        g_array_index(report.requests, limit_request_t, 0).rate = RATES[i];
         written = limit_report_write(&report);
         CU_ASSERT_FALSE(limit_report_read(written, &read));
         g_bytes_unref(written);
     }
-    g_array_unref(report.asks);
+    g_array_unref(report.requests);
     g_array_unref(answer.grants);
 }
 
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -659,8 +659,8 @@
             .epoch = 5,
             .cursor = 6,
             .wait_ms = 200,
-            .takes_config = bits,
-            .rest = !bits,
+            .wants_config = bits,
+            .more = !bits,
         };
         sync_request_t read;
         GBytes *bytes = sync_request_write(&request);
@@ -670,8 +670,8 @@
         CU_ASSERT_EQUAL(read.epoch, 5);
         CU_ASSERT_EQUAL(read.cursor, 6);
         CU_ASSERT_EQUAL(read.wait_ms, 200);
-        CU_ASSERT_EQUAL(read.takes_config, request.takes_config);
-        CU_ASSERT_EQUAL(read.rest, request.rest);
+        CU_ASSERT_EQUAL(read.wants_config, request.wants_config);
+        CU_ASSERT_EQUAL(read.more, request.more);
         sync_request_clear(&read);
         g_bytes_unref(bytes);
     }
