--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -11,17 +11,19 @@
 
 enum {
     MS = 1000,
-    /* Over the time held: a round trip between regions and a busy instance,
-     * the busier the more ask. One given up too soon asks again and makes it
-     * busier still. */
+    /* Allowed on top of the time that a poll is held: a round trip between
+     * regions and a busy control instance, which is slower the more entry
+     * instances poll. A poll given up too early is sent again and adds load.
+     */
     ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_TIMEOUT_PER_ENTRY_US = 5 * MS,
-    /* For a configuration to come from the leader before another is asked:
-     * a hundred KB over 10 Mbit/s take a tenth of it. */
+    /* Time for the leader to deliver a configuration before another control
+     * instance is polled for it. 100 KB over 10 Mbit/s take a tenth of it. */
     DELIVERY_TIMEOUT_US = 800 * MS,
     RETRY_MIN_US = 50 * MS,
     RETRY_MAX_US = 800 * MS,
-    /* A control instance that neither answers nor is named is given up. */
+    /* A control instance is removed after this time without an answer and
+     * without being listed by another one. */
     LOST_LIFETIME_US = 30 * G_USEC_PER_SEC,
     ANSWER_MAX = 64 * 1024 * 1024,
 };
@@ -36,21 +38,21 @@
 struct control_link {
     entry_t *entry;
     char *address;
-    char *data_centre; /* as it says; NULL until then */
-    guint source;      /* bit in the directory */
+    char *data_centre; /* from its answers; NULL until the first */
+    guint source;      /* index in the directory */
     inner_line_t *line;
-    guint64 timer;    /* of the next question */
-    gint64 polled_us; /* clock_boot_us of the question under way */
+    guint64 timer;    /* of the next poll */
+    gint64 polled_us; /* clock_boot_us of the poll in flight */
     gint64 retry_us;
-    gint64 answered_us; /* timers' clock; 0: never */
-    gint64 named_us;    /* last named as a control instance */
+    gint64 answered_us; /* clock of the timers; 0: never */
+    gint64 named_us;    /* last listed as a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
     guint64 quarantine_cursor;
     guint64 limit_cursor;
-    gboolean more;  /* leases than its last answer had */
-    gboolean leads; /* it confirmed the configuration */
+    gboolean more;  /* leases remain after its last answer */
+    gboolean leads; /* its last answer confirmed the configuration */
 };
 
 static const inner_line_ops_t LINK_OPS;
@@ -98,7 +100,7 @@
            e->entries * (gint64)ANSWER_TIMEOUT_PER_ENTRY_US;
 }
 
-/* ---- an answer ---- */
+/* ---- answers ---- */
 
 static GBytes *
 updated_text(const entry_t *e, const sync_answer_t *answer)
@@ -107,7 +109,7 @@
         return text_delta_apply(STR(""), answer->delta);
     }
     if (e->config == NULL || e->config->version != answer->base) {
-        return NULL; /* the base went on meanwhile; the next answer fits */
+        return NULL; /* the base changed; the next answer fits */
     }
     return text_delta_apply(str_from_bytes(e->text), answer->delta);
 }
@@ -156,7 +158,7 @@
     return -1;
 }
 
-/* NULL when the address is none. */
+/* Returns NULL if the address is invalid. */
 static control_link_t *
 link_create(entry_t *e, const char *address, guint source)
 {
@@ -227,7 +229,7 @@
     }
 }
 
-/* Notes since when a newer version is known to be elsewhere. */
+/* Records when it became known that a newer version exists. */
 static void
 record_version(entry_t *e, guint64 version)
 {
@@ -237,8 +239,8 @@
     }
 }
 
-/* When the answer was surely not written yet, by this instance's clock: the
- * question was held for a while after it was asked. */
+/* The earliest time, by the clock of this instance, at which the answer can
+ * have been written: the poll was held for a while after it was sent. */
 static gint64
 earliest_written_us(const control_link_t *link)
 {
@@ -308,14 +310,14 @@
     link->answered_us = entry_now(e);
     apply_answer(link, &answer);
     sync_answer_clear(&answer);
-    /* The connection is free again only after this call. */
+    /* The connection is free only after this call returns. */
     link->timer = timers_subscribe(e->timers, 0, 0, link_poll_due, link);
 }
 
 static void
 on_failed(void *user)
 {
-    link_failed(user); /* asking again is always right */
+    link_failed(user); /* polls are idempotent */
 }
 
 static const inner_line_ops_t LINK_OPS = {.answered = on_answered,
@@ -332,9 +334,10 @@
     return FALSE;
 }
 
-/* A new configuration comes from one control instance, the leader: all of
- * them sending it at once fill a narrow link for seconds. When there is no
- * leader or it does not deliver, another is asked, one at a time. */
+/* A new configuration comes from one control instance, the leader: if all of
+ * them sent it at once, they would fill a narrow link for seconds. If there is
+ * no leader or it does not deliver, the other control instances are polled for
+ * it, one at a time. */
 static gboolean
 wants_config(const control_link_t *link)
 {
@@ -380,7 +383,8 @@
     };
     GBytes *body = sync_request_write(&request);
     link->polled_us = clock_boot_us();
-    /* A long answer over a narrow link may take several times as long. */
+    /* A long answer over a narrow link may take several times as long as the
+     * timeout. */
     inner_line_set_progress(link->line, answer_timeout_us(e));
     gboolean posted =
         inner_line_post(link->line, SYNC_PATH, body,
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -1,6 +1,6 @@
-/* The limits that endpoints name: told to their owners among the control
- * instances, which are asked ahead of time for the sends that this instance
- * may make. */
+/* Rate limits that endpoints announce. Reports them to their owners among the
+ * control instances, and requests grants from the owners ahead of time for the
+ * sends that this instance may make. */
 #include <string.h>
 
 #include "carobloom/common/clock.h"
@@ -14,20 +14,22 @@
 
 enum {
     MS = 1000,
-    /* Grants that are over are looked for, and owners that did not answer
-     * asked again, each so often while any limit is in force. */
+    /* Interval of the check for expired grants and of repeated requests to
+     * owners that did not answer, while any limit is in force. */
     TICK_INTERVAL_US = 100 * MS,
-    /* Between two asks of one owner at least; for sends it may say more. */
+    /* Minimum interval between two requests to one owner. For grants the owner
+     * may set a longer one. */
     REQUEST_INTERVAL_US = 100 * MS,
     REQUEST_JITTER_US = 30 * MS,
-    /* An owner that takes longer is asked anew. */
+    /* After this time the request is sent again. */
     ANSWER_TIMEOUT_US = 400 * MS,
     RETRY_DELAY_US = 200 * MS,
-    /* Failed asks in a row after which it is taken as lost. */
+    /* Consecutive failed requests after which the owner counts as lost. */
     FAILURES_MAX = 2,
     ANSWER_MAX = 64 * 1024,
-    /* Owners that are asked for one request that found no endpoint: all of
-     * them would make bytes grow as instances times endpoints in need. */
+    /* Endpoints whose owners get a grant request because one caller's request
+     * found no endpoint. With all endpoints, traffic would grow with the
+     * number of instances times the number of limited endpoints. */
     DENIED_MAX = 4,
 };
 
@@ -38,25 +40,25 @@
     .head_max = 4096,
 };
 
-/* A control instance that owns limits. */
+/* A control instance that may own limits, and the connection to it. */
 typedef struct {
     limit_link_t *link;
     char *address;
     guint64 hash;
     inner_line_t *line;
-    guint64 timer;    /* of the next ask; 0: none waits */
-    GArray *requests; /* limit_request_t under way, or NULL */
+    guint64 timer;    /* of the next request; 0: none is scheduled */
+    GArray *requests; /* limit_request_t in flight, or NULL */
     gint64 sent_us;
-    gint64 next_grants_us; /* sends are not asked for before */
-    guint failures;        /* in a row */
+    gint64 next_grants_us; /* time before which no grants are requested */
+    guint failures;        /* consecutive failed requests */
 } owner_t;
 
 struct limit_link {
     entry_t *entry;
     guint64 incarnation;
-    guint64 sequence;  /* of the last ask */
+    guint64 sequence;  /* of the last request */
     GPtrArray *owners; /* owner_t * */
-    guint64 tick;      /* timer; 0: no limit is known */
+    guint64 tick;      /* timer; 0: nothing to check */
 };
 
 gint64
@@ -73,8 +75,9 @@
     return owner->failures >= FAILURES_MAX;
 }
 
-/* Who owns an endpoint's limit, among all or those that answer; NULL when
- * there is none. */
+/* Returns the control instance that owns an endpoint's limit, chosen among all
+ * of them, or among those that are not lost if `reachable` is set. NULL: there
+ * is none. */
 static owner_t *
 owner_among(const limit_link_t *link, guint64 endpoint, gboolean reachable)
 {
@@ -99,8 +102,9 @@
     return owner_among(link, endpoint, FALSE);
 }
 
-/* Who tells all of an endpoint's limit: its owner, or the next one in the same
- * ranking while that is lost. */
+/* Returns the control instance that publishes an endpoint's limit to all entry
+ * instances: its owner, or while the owner is lost the next one in the same
+ * ranking. */
 static owner_t *
 relay_of(const limit_link_t *link, guint64 endpoint)
 {
@@ -119,8 +123,8 @@
     return directory_limits(link->entry->directory)->len;
 }
 
-/* Nobody can be asked about these limits: `a` does not answer, or NULL where
- * no control instance is known. */
+/* Schedules sends without grants to the endpoints whose limits `owner` owns,
+ * because it does not answer. NULL: no control instance is known. */
 static void
 send_without_owner(const limit_link_t *link, const owner_t *owner)
 {
@@ -136,9 +140,9 @@
     }
 }
 
-/* ---- asking one of them ---- */
+/* ---- requests to one owner ---- */
 
-/* Whether there is something to tell or to ask an endpoint's owner. */
+/* Returns whether an update or a grant request to the owner is due. */
 static gboolean
 has_request(const owner_t *owner, const endpoint_t *e, gint64 now)
 {
@@ -147,7 +151,7 @@
             endpoint_limit_needs_grants(e->limit, now));
 }
 
-/* Whether there is something to tell one that only relays the limit. */
+/* Returns whether a report to the relay of the limit is due. */
 static gboolean
 has_report(const owner_t *owner, const endpoint_t *e)
 {
@@ -165,7 +169,7 @@
     owner->timer = timers_subscribe(timers, MAX(us, 0), 0, owner_due, owner);
 }
 
-/* The endpoint with a limit of a hash, or NULL. */
+/* Returns the endpoint with a limit that has this hash, or NULL. */
 static endpoint_t *
 endpoint_find(const limit_link_t *link, guint64 hash)
 {
@@ -246,8 +250,8 @@
     limit_answer_clear(&answer);
     g_clear_pointer(&owner->requests, g_array_unref);
     gint64 since_us = limit_link_now() - owner->sent_us;
-    /* At even pauses one instance could always be the first to ask after the
-     * owner had something to grant. */
+    /* Jitter: at a fixed interval the same instance could always be the first
+     * to request after the owner had something to grant. */
     gint64 pause_us =
         REQUEST_INTERVAL_US +
         g_rand_int_range(owner->link->entry->random, 0, REQUEST_JITTER_US);
@@ -263,7 +267,7 @@
 static const inner_line_ops_t OWNER_OPS = {.answered = on_answered,
                                            .failed = on_failed};
 
-/* FALSE when there is nothing to tell or to ask this one. */
+/* Returns FALSE if nothing is due to this control instance. */
 static gboolean
 fill_request(const owner_t *owner, const endpoint_t *e,
              limit_request_t *request, gint64 now)
@@ -283,7 +287,7 @@
     return TRUE;
 }
 
-/* What there is to tell and to ask this one. */
+/* Returns the updates, reports and grant requests that are due. */
 static GArray *
 collect_requests(const owner_t *owner)
 {
@@ -335,7 +339,8 @@
     owner_send(owner);
 }
 
-/* One that waits for nothing asks at once; the others go on by their timer. */
+/* Sends at once unless a request is scheduled or in flight; otherwise the
+ * timer does. */
 static void
 owner_wake(owner_t *owner)
 {
@@ -355,7 +360,7 @@
     g_free(owner);
 }
 
-/* NULL when the address is none. */
+/* Returns NULL if the address is invalid. */
 static owner_t *
 owner_create(limit_link_t *link, const char *address)
 {
@@ -412,7 +417,7 @@
     }
 }
 
-/* Whether time brings something to do for it. */
+/* Returns whether the periodic check is needed for the endpoint. */
 static gboolean
 needs_ticks(const endpoint_t *e)
 {
@@ -539,7 +544,7 @@
     return rate / instance_count_get(&link->entry->sharers);
 }
 
-/* Limits that were told before their endpoints were known. */
+/* Logs limits that were received before their endpoints were known. */
 static void
 log_early(limit_link_t *link, const char *control)
 {
@@ -587,7 +592,7 @@
     }
     g_ptr_array_set_size(link->owners, 0);
     for (guint i = 0; i < limit_count(link); i++) {
-        endpoint_at(link, i)->limit->update_due = TRUE; /* to another owner */
+        endpoint_at(link, i)->limit->update_due = TRUE; /* for the new owner */
     }
     for (guint i = 0; i < controls->len; i++) {
         owner_t *owner = owner_create(link, controls->pdata[i]);
--- a/carobloomd/gateway/limit_log.c
+++ b/carobloomd/gateway/limit_log.c
@@ -1,11 +1,12 @@
-/* Lines of the log about limits that endpoints name. */
+/* Log lines about rate limits that endpoints announce. */
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
 #include "entry_state.h"
 
 enum {
     MS = 1000,
-    /* Between two lines that an endpoint's grant is spent. */
+    /* Minimum interval between two log lines about a used-up grant of an
+     * endpoint. */
     SPENT_LOG_INTERVAL_US = 1000 * MS,
 };
 
--- a/carobloomd/gateway/limit_wire.c
+++ b/carobloomd/gateway/limit_wire.c
@@ -32,7 +32,7 @@
                                      g_variant_builder_end(&b)));
 }
 
-/* Takes the list. */
+/* Takes ownership of `list`. */
 static gboolean
 requests_read(GVariant *list, GArray *requests)
 {
@@ -93,7 +93,7 @@
                                      g_variant_builder_end(&b)));
 }
 
-/* Takes the list. */
+/* Takes ownership of `list`. */
 static gboolean
 grants_read(GVariant *list, GArray *grants)
 {
--- a/carobloomd/gateway/sync_wire.c
+++ b/carobloomd/gateway/sync_wire.c
@@ -6,7 +6,7 @@
 
 #define REQUEST_TYPE "(stttttubb)"
 #define LEASES_TYPE "a(ssssxtuybxx)"
-/* Leases are bytes of their own, packed where there are many. */
+/* Leases are a nested byte array, compressed if there are many. */
 #define ANSWER_TYPE                                                           \
     "(ttbbbttbaybayassut" QUARANTINE_ORDERS_TYPE "t" LIMIT_STATES_TYPE ")"
 #define ANSWER_FORMAT                                                         \
@@ -14,8 +14,8 @@
 #define ENVELOPE_TYPE "(stay)"
 
 enum {
-    PACKED_LEASES_MIN = 16, /* leases */
-    /* A lease with names of the longest kind. */
+    PACKED_LEASES_MIN = 16, /* fewer are sent uncompressed */
+    /* 1024 bytes per lease: all names of maximum length. */
     LEASES_BYTES_MAX = SYNC_LEASES_MAX * 1024,
 };
 
@@ -105,7 +105,7 @@
     return bytes;
 }
 
-/* NULL when it is no list of leases. */
+/* Returns NULL if the bytes are not a list of leases. */
 static GVariant *
 leases_read(GVariant *bytes, gboolean packed)
 {
@@ -120,7 +120,7 @@
     return list;
 }
 
-/* Takes the bytes. */
+/* Takes ownership of `bytes`. */
 static gboolean
 leases_parse(GVariant *bytes, gboolean packed, sync_answer_t *a)
 {
--- a/include/carobloom/gateway/sync_wire.h
+++ b/include/carobloom/gateway/sync_wire.h
@@ -1,8 +1,10 @@
-/* What entry and control instances tell each other.
+/* Messages between entry and control instances, and envelopes between control
+ * instances.
  *
- * An entry instance asks each control instance it knows for news and is held
- * until there is some. Answers carry differences: leases that changed since
- * the cursor, and the configuration as a difference to the text it has. */
+ * An entry instance polls each control instance it knows. The control instance
+ * holds the poll until there are updates. Answers are incremental: leases that
+ * changed since the cursor, and the configuration as a delta to the text that
+ * the entry instance has. */
 #ifndef CAROBLOOM_GATEWAY_SYNC_WIRE_H
 #define CAROBLOOM_GATEWAY_SYNC_WIRE_H
 
@@ -16,41 +18,42 @@
 #define VOTER_PATH "/voter" /* control to control */
 
 enum {
-    SYNC_LEASES_MAX = 1024, /* in one answer; more come in the next */
+    SYNC_LEASES_MAX = 1024, /* per answer; more follow in the next */
     SYNC_CONTROLS_MAX = 64,
 };
 
 typedef struct {
     char *instance;
-    guint64 version; /* of the configuration here; 0 for none */
-    guint64 epoch;   /* of the control instance's start that `cursor` is of */
-    guint64 cursor;  /* leases changed up to here are known */
-    guint64
-        quarantine_cursor; /* orders to hold requests back, up to here, too */
-    guint64 limit_cursor;  /* limits of endpoints, the same */
-    guint32 wait_ms;       /* to be held for, at most, when there is no news */
-    gboolean wants_config; /* news of the configuration are to be sent here */
-    gboolean more;         /* the last answer said that there are more */
+    guint64 version; /* of its configuration; 0: none */
+    guint64 epoch;   /* incarnation of the control instance that the cursors
+                        belong to */
+    guint64 cursor;  /* of the last lease change received */
+    guint64 quarantine_cursor; /* of the last quarantine order received */
+    guint64 limit_cursor;      /* of the last change of a limit received */
+    guint32 wait_ms;       /* maximum time to hold the poll, while there are no
+                              updates */
+    gboolean wants_config; /* send configuration updates in the answer */
+    gboolean more;         /* the last answer left out leases */
 } sync_request_t;
 
 typedef struct {
     guint64 epoch;
     guint64 cursor;
     guint64 quarantine_cursor;
-    GArray *quarantine_orders; /* quarantine_order_t, changed since */
+    GArray *quarantine_orders; /* quarantine_order_t, only changes */
     guint64 limit_cursor;
-    GArray *limits;     /* limit_state_t, changed since */
-    gboolean full;      /* `leases` are from the first on, not the changes */
-    gboolean more;      /* there are more leases than were sent */
+    GArray *limits;     /* limit_state_t, only changes */
+    gboolean full;      /* `leases` starts over from the first */
+    gboolean more;      /* more leases follow */
     gboolean confirmed; /* no newer configuration was acknowledged by the time
-                           this was written */
-    guint64 version;    /* committed here */
-    guint64 base;       /* of `delta`; 0: the empty text */
-    GBytes *delta; /* text_delta_between; NULL: no news of the configuration */
+                           this answer was written */
+    guint64 version;    /* of the committed configuration */
+    guint64 base;  /* version that `delta` applies to; 0: the empty text */
+    GBytes *delta; /* from text_delta_between; NULL: no configuration update */
     GPtrArray *leases;   /* endpoint_lease_t * */
     GPtrArray *controls; /* char *: IP:PORT of the voters' listeners */
     char *data_centre;   /* of the control instance */
-    guint32 entries;     /* entry instances that ask here */
+    guint32 entries;     /* entry instances that poll the control instance */
 } sync_answer_t;
 
 GBytes *sync_request_write(const sync_request_t *request);
@@ -60,11 +63,11 @@
 gboolean sync_answer_read(GBytes *bytes, sync_answer_t *answer);
 void sync_answer_clear(sync_answer_t *answer);
 
-/* One message between control instances. `message` is empty when the sender
- * only says who it is, so that the leader can take it in. */
+/* A message between control instances. `message` is empty if the sender only
+ * introduces itself, so that the leader can add it as a voter. */
 typedef struct {
-    char *from; /* IP:PORT of its listener; its name as a voter */
-    guint64 id; /* its identity as a voter */
+    char *from; /* IP:PORT of the sender's listener; its name as a voter */
+    guint64 id; /* identity of the sender as a voter */
     GBytes *message;
 } voter_envelope_t;
 
