--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -1,5 +1,5 @@
-/* Endpoints that ended, told to every control instance, and what those order
- * to be held back. */
+/* Reports ends of endpoints to every control instance, and applies the
+ * quarantine orders that these send. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -10,17 +10,17 @@
 
 enum {
     MS = 1000,
-    /* Reports that are remembered, for control instances that start again
-     * without what they were told: 128 requests each at most, 0.5 MB. Beyond
-     * it the oldest give way. */
+    /* Records kept for control instances that restart without the earlier
+     * reports: at most 128 requests each, 0.5 MB in total. The oldest are
+     * dropped first. */
     RECORDS_MAX = 256,
-    /* Between two reports to one control instance, of 8 KB at most: 40 KB a
-     * second to each while endpoints end all the time. A report that comes
-     * alone goes at once. */
+    /* Minimum interval between two reports to one control instance. Reports
+     * have 8 KB at most, so each control instance gets at most 40 KB/s while
+     * endpoints end continuously. A single report is sent at once. */
     REPORT_INTERVAL_US = 200 * MS,
-    /* An answer that takes longer is not waited for; the report goes again. */
+    /* After this time the report is sent again. */
     ANSWER_TIMEOUT_US = 700 * MS,
-    ANSWER_MAX = 1024, /* bytes; it has no body */
+    ANSWER_MAX = 1024, /* bytes; the answer has no body */
     RETRY_MIN_US = 100 * MS,
     RETRY_MAX_US = 800 * MS,
 };
@@ -32,34 +32,35 @@
     .head_max = 4096,
 };
 
-/* What is to be told: an end, or a request that was answered. */
+/* A record to report: an end of an endpoint, or a request that was answered.
+ */
 typedef struct {
-    guint64 number; /* in the order of telling, from 1 */
+    guint64 number; /* in the order of recording, from 1 */
     gint64 recorded_us;
-    endpoint_end_t end; /* `endpoint` is NULL in the other case */
+    endpoint_end_t end; /* `endpoint` is NULL for an answered request */
     guint64 answered;
 } crash_record_t;
 
-/* What one control instance was told. */
+/* Sends the records to one control instance. */
 typedef struct {
     crash_link_t *link;
     char *address;
-    guint64 epoch; /* of its start */
+    guint64 epoch; /* identifies the incarnation of the control instance */
     inner_line_t *line;
-    guint64 timer;        /* of the next report; 0: none waits */
-    guint64 acknowledged; /* it has the notes up to here */
-    guint64 sending;      /* those of the call under way */
+    guint64 timer;        /* of the next report; 0: none is scheduled */
+    guint64 acknowledged; /* number of the last acknowledged record */
+    guint64 sending;      /* number of the last record in the call in flight */
     gint64 retry_us;
 } crash_sender_t;
 
 struct crash_link {
     entry_t *entry;
     GQueue records; /* crash_record_t, the newest at the tail */
-    guint64 last;   /* number of the newest */
+    guint64 last;   /* number of the newest record */
     GHashTable *senders;
 };
 
-/* ---- notes ---- */
+/* ---- records ---- */
 
 static void
 record_free(gpointer data)
@@ -135,7 +136,7 @@
 static void
 on_answered(void *user, guint status, GBytes *body)
 {
-    (void)body; /* the status says it all */
+    (void)body; /* the answer has no body */
     crash_sender_t *s = user;
     if (status != 204) {
         sender_failed(s);
@@ -187,8 +188,8 @@
     sender_report(s);
 }
 
-/* A sender that waits for nothing tells at once; one that pauses, retries or
- * waits for an answer goes on by its timer. */
+/* Reports at once unless the sender pauses, retries or waits for an answer;
+ * then its timer sends the next report. */
 static void
 sender_wake(crash_sender_t *s)
 {
@@ -222,7 +223,7 @@
                                 .kind = TRAFFIC_CRASHES};
     s->link = link;
     s->line = inner_line_create(&setup, address);
-    if (s->line == NULL) { /* so the link to it could not be made either */
+    if (s->line == NULL) { /* the address is invalid */
         g_free(s);
         return NULL;
     }
@@ -231,7 +232,7 @@
     return s;
 }
 
-/* ---- all of them ---- */
+/* ---- all senders ---- */
 
 static crash_record_t *
 record_add(crash_link_t *link)
@@ -286,7 +287,7 @@
     if (s == NULL || s->epoch == epoch) {
         return;
     }
-    s->epoch = epoch; /* it has started: all that matters is told again */
+    s->epoch = epoch; /* restarted: all records are reported again */
     s->acknowledged = 0;
     s->sending = 0;
     sender_wake(s);
@@ -316,7 +317,7 @@
     g_free(link);
 }
 
-/* ---- what is ordered ---- */
+/* ---- quarantine orders ---- */
 
 void
 crash_link_take_orders(crash_link_t *link, const GArray *orders,
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -10,38 +10,42 @@
 
 enum {
     MS = 1000,
-    /* How often breaks that are not explained yet are looked at. */
+    /* Interval at which unexplained breaks are checked. */
     CHECK_INTERVAL_US = 50 * MS,
-    /* A connection is tried by then, unless a request found the address
-     * refused before: so that an endpoint without new requests is found. */
+    /* A connection is tried this long after a break unless a request found the
+     * address refused before. This detects the end of an endpoint that gets no
+     * new requests. */
     CONNECT_DELAY_US = 50 * MS,
-    /* Bytes that come later after a break than this were not on their way
-     * already: the endpoint lives. */
+    /* Bytes that arrive later than this after a break were not in transit when
+     * the connection broke, so the endpoint still runs. */
     IN_TRANSIT_US = 50 * MS,
-    /* For other requests there to be heard of before an end is taken for
-     * sure. Three ends are to be known everywhere within 3 s. */
+    /* Time for the breaks of other requests at the endpoint to be noticed
+     * before its end is reported. Three ends must be known everywhere within
+     * 3 s. */
     REPORT_DELAY_US = 150 * MS,
-    /* An engine is back within seconds; what is not explained by then was no
-     * end, or will not be known as one. */
+    /* An engine restarts within seconds. A break that is not explained after
+     * this time was no end, or can no longer be identified as one. */
     BREAK_LIFETIME_US = 6000 * MS,
-    /* One whose caller left so shortly before counts as having run there. */
+    /* A request whose caller left within this time before a break counts as
+     * running there. */
     ABANDONED_LIFETIME_US = 1000 * MS,
-    ABANDONED_MAX = 64,  /* remembered; beyond it the oldest give way */
-    LOGGED_RUNS_MAX = 8, /* fingerprints in one line */
-    BREAKS_MAX = 1024,   /* watched at once: every endpoint of a large site */
+    ABANDONED_MAX = 64,  /* kept; the oldest is overwritten */
+    LOGGED_RUNS_MAX = 8, /* fingerprints per log line */
+    BREAKS_MAX = 1024, /* tracked at a time: every endpoint of a large site */
 };
 
-/* A break at an endpoint, and what became of it. */
+/* A connection to an endpoint that broke off, and the evidence that the
+ * endpoint ended. */
 typedef struct {
     endpoint_end_t end;
     char *service;
     char *address;
     gint64 broke_us;
-    const char *evidence;  /* that it ended; NULL: none yet */
-    gboolean reported;     /* told */
-    gboolean has_new_runs; /* runs that were not told yet */
+    const char *evidence; /* that the endpoint ended; NULL: none yet */
+    gboolean reported;
+    gboolean has_new_runs; /* runs were added since the last report */
     gboolean connect_tried;
-    stream_socket_t *connection; /* a connection that is tried; or NULL */
+    stream_socket_t *connection; /* the attempt in progress, or NULL */
     crash_watch_t *watch;
 } break_t;
 
@@ -54,8 +58,8 @@
 struct crash_watch {
     crash_watch_setup_t setup;
     GHashTable *breaks; /* hash of the endpoint -> break_t */
-    guint unexplained;  /* of them, those that are not explained */
-    guint64 timer;      /* 0: nothing to look at */
+    guint unexplained;  /* number of breaks that are not explained */
+    guint64 timer;      /* 0: no breaks to check */
     abandoned_run_t abandoned[ABANDONED_MAX];
     guint abandoned_next;
 };
@@ -103,7 +107,7 @@
     g_free(w);
 }
 
-/* ---- what ran there ---- */
+/* ---- requests at an endpoint ---- */
 
 static void
 add_run(break_t *b, interrupted_run_t run)
@@ -115,7 +119,8 @@
     b->has_new_runs |= endpoint_end_add(&b->end, run);
 }
 
-/* Those whose callers left shortly before the break ran there as well. */
+/* Adds the requests whose callers left shortly before the break: these were
+ * running there as well. */
 static void
 add_abandoned(break_t *b, guint64 endpoint)
 {
@@ -166,7 +171,8 @@
     if (b == NULL) {
         b = break_add(w, e);
     }
-    /* Sent after the first break, it met an endpoint that had ended. */
+    /* A request that was sent after the first break met an endpoint that had
+     * already ended. */
     if (run.sent_us <= b->broke_us) {
         add_run(b, run.run);
     }
@@ -181,7 +187,7 @@
     w->abandoned_next = (w->abandoned_next + 1) % ABANDONED_MAX;
 }
 
-/* ---- whether it ended ---- */
+/* ---- evidence of an end ---- */
 
 static void
 set_evidence(break_t *b, const char *evidence)
@@ -220,8 +226,8 @@
 static void
 connection_connected(void *user)
 {
-    connection_close(
-        user); /* it lives, or is back already: its next start tells */
+    connection_close(user); /* the endpoint still runs, or has restarted: then
+                               its next incarnation is the evidence */
 }
 
 static void
@@ -264,7 +270,7 @@
     }
 }
 
-/* ---- telling ---- */
+/* ---- reports ---- */
 
 static void
 log_end(const break_t *b)
@@ -307,7 +313,7 @@
     b->watch->setup.ended(b->watch->setup.user, &b->end);
 }
 
-/* TRUE when there is nothing more to learn of it. */
+/* Returns TRUE if the break need not be tracked any longer. */
 static gboolean
 check_break(break_t *b, gint64 now_us)
 {
--- a/carobloomd/gateway/crash_watch.h
+++ b/carobloomd/gateway/crash_watch.h
@@ -1,11 +1,12 @@
-/* Finds out which endpoints ended without having said that they leave, and
- * which of this instance's requests ran there.
+/* Detects endpoints that ended without announcing that they leave, and which
+ * requests of this instance were running there.
  *
- * A connection that breaks off shows nothing yet: endpoints reset what is too
- * much for them, cut answers short, or are cut off. An endpoint has ended when
- * a break is followed by a refused connection (nobody listens at its address
- * any more) or by another start at its address, and nothing more was heard
- * from it. One that drains or has left ends as it said. */
+ * A connection that breaks off is no evidence by itself: endpoints reset
+ * connections when overloaded, cut responses short, or are disconnected from
+ * the network. An endpoint has ended if a break is followed by a refused
+ * connection (nothing listens at its address any more) or by another
+ * incarnation at its address, and no more bytes came from it. An endpoint that
+ * drains or has left has announced its end. */
 #ifndef CAROBLOOMD_GATEWAY_CRASH_WATCH_H
 #define CAROBLOOMD_GATEWAY_CRASH_WATCH_H
 
@@ -16,36 +17,38 @@
 
 typedef struct crash_watch crash_watch_t;
 
-/* What the watch is told of and tells. */
+/* Dependencies and the callback of the watch. */
 typedef struct {
     poller_t *poller;
     timers_t *timers;
     const directory_t *directory;
-    /* An endpoint ended, or more is known of what ran there. */
+    /* An endpoint ended, or more requests that were running there are known.
+     */
     void (*ended)(void *user, const endpoint_end_t *end);
     void *user;
 } crash_watch_setup_t;
 
-/* A request at an endpoint. */
+/* A request that was sent to an endpoint. */
 typedef struct {
     interrupted_run_t run;
-    gint64 sent_us; /* when it was sent there */
+    gint64 sent_us; /* when the request was sent to the endpoint */
 } watched_run_t;
 
 crash_watch_t *crash_watch_create(const crash_watch_setup_t *setup);
 void crash_watch_destroy(crash_watch_t *watch);
-/* A request was sent there and its connection broke off. */
+/* Records that the connection of a request to the endpoint broke off. */
 void crash_watch_record_break(crash_watch_t *watch, const endpoint_t *endpoint,
                               watched_run_t run);
-/* Its caller left, or it was given up, while it ran there. */
+/* Records that the caller of a request left, or that the request was given up,
+ * while it ran at the endpoint. */
 void crash_watch_record_abandoned(crash_watch_t *watch,
                                   const endpoint_t *endpoint,
                                   watched_run_t run);
-/* Nobody listens at the endpoint's address. */
+/* Records that a connection to the endpoint's address was refused. */
 void crash_watch_record_refused(crash_watch_t *watch,
                                 const endpoint_t *endpoint);
-/* Bytes came from the endpoint: only of interest while a break there is
- * unexplained, which the first tells. */
+/* Records that bytes came from the endpoint. This matters only while a break
+ * is unexplained, which crash_watch_has_unexplained returns. */
 gboolean crash_watch_has_unexplained(const crash_watch_t *watch);
 void crash_watch_record_bytes(crash_watch_t *watch,
                               const endpoint_t *endpoint);
--- a/carobloomd/gateway/crash_wire.c
+++ b/carobloomd/gateway/crash_wire.c
@@ -58,7 +58,7 @@
                                      g_variant_builder_end(&ends), answered));
 }
 
-/* FALSE when a stage is none, or there are too many runs. */
+/* Returns FALSE if a stage is invalid or there are too many runs. */
 static gboolean
 runs_read(GVariant *list, endpoint_end_t *end)
 {
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -1,5 +1,6 @@
-/* This instance's requests under way and the prompt parts that it sent where,
- * reported to one control instance, and those of all that it answers with. */
+/* Reports the requests in flight of this instance and the prompt parts that it
+ * sent to endpoints to one control instance, and applies those of all
+ * instances from its answers. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -11,22 +12,24 @@
 
 enum {
     MS = 1000,
-    /* One that does not answer for so long, four reports, is left for the
-     * next: without word of the others requests go to engines that are full.
-     */
+    /* A control instance that does not answer within this time, four reports,
+     * is replaced by the next: without the loads of the others, requests go to
+     * engines that are full. */
     ANSWER_TIMEOUT_US = 400 * MS,
-    /* And is not asked again for so long: a process that was killed is back
-     * within a second, one that froze within a few. Where no other is left,
-     * for this only. */
+    /* A control instance that failed gets no reports for this time: a process
+     * that was killed is back within a second, one that froze within a few.
+     * Where no other control instance is left, the shorter time applies. */
     UNRESPONSIVE_US = 3000 * MS,
     UNRESPONSIVE_FALLBACK_US = 200 * MS,
-    /* While none answers, or there is no configuration yet. */
+    /* Retry delay while no control instance is reachable, or there is no
+     * configuration yet. */
     IDLE_RETRY_US = 200 * MS,
-    /* Between an answer and the next report, however late the answer. */
+    /* Minimum delay between an answer and the next report, however late the
+     * answer is. */
     PAUSE_MIN_US = 20 * MS,
     ANSWER_MAX = 1024 * 1024,
-    /* Parts told with one report: more than an instance sends within its
-     * interval; of what comes beyond, others learn from who sends it next. */
+    /* Parts per report: more than an instance sends within its interval. Parts
+     * beyond it are reported by the instance that sends them next. */
     PARTS_MAX = 256,
 };
 
@@ -43,10 +46,10 @@
     inner_line_t *line;
     guint64 timer; /* of the next report */
     gint64 sent_us;
-    GArray *reported;         /* loads in the report under way, or NULL */
+    GArray *reported;         /* loads in the last report, or NULL */
     GArray *parts;            /* part_copy_t, for the next report */
-    guint64 parts_received;   /* notes that this control instance told */
-    GHashTable *unresponsive; /* address -> gint64, when it did not answer */
+    guint64 parts_received;   /* part_copy_t from this control instance */
+    GHashTable *unresponsive; /* address -> gint64, time of the last failure */
 };
 
 static void on_due(void *data);
@@ -70,7 +73,7 @@
     }
 }
 
-/* The one asked does not answer: the next is asked at once. */
+/* The control instance does not answer: the next one gets a report at once. */
 static void
 link_failed(load_link_t *link)
 {
@@ -89,8 +92,8 @@
     return since != NULL && entry_now(link->entry) - *since < for_us;
 }
 
-/* The control instance to report to, or NULL; a copy. None that fell silent
- * within `unresponsive_us`. */
+/* Returns a copy of the address of the control instance to report to, or NULL.
+ * Skips those that failed within `unresponsive_us`. */
 static char *
 choose_responsive(const load_link_t *link, gint64 unresponsive_us)
 {
@@ -143,13 +146,14 @@
 static void
 on_failed(void *user)
 {
-    link_failed(user); /* the next report says it all again */
+    link_failed(user); /* the next report repeats the loads */
 }
 
 static const inner_line_ops_t LOAD_OPS = {.answered = on_answered,
                                           .failed = on_failed};
 
-/* Turns to a control instance; FALSE when its address is none. */
+/* Reports to the control instance at `address` from now on. Takes ownership of
+ * `address`. Returns FALSE if it is invalid. */
 static gboolean
 connect_to(load_link_t *link, char *address)
 {
@@ -247,7 +251,7 @@
 load_link_dump(const load_link_t *link, GString *text)
 {
     g_string_append_printf(
-        text, "loads reported to %s, told %ld ms ago\n",
+        text, "loads reported to %s, received %ld ms ago\n",
         link->address != NULL ? link->address : "none",
         (long)((entry_now(link->entry) - link->entry->loads_us) / MS));
 }
--- a/carobloomd/gateway/load_wire.c
+++ b/carobloomd/gateway/load_wire.c
@@ -8,9 +8,10 @@
 #define SUMS_TYPE "(ssttayay)"
 #define ANSWER_TYPE "(uayayt)"
 
-/* Loads go as packed records of a fixed size: 66 entry instances told of 112
- * endpoints four times a second are 30,000 records a second at the leader, and
- * a leader that is kept busy by them tells of loads that are old. */
+/* Loads are sent as packed records of a fixed size. With 66 entry instances
+ * that receive the loads of 112 endpoints four times per second, the leader
+ * writes 30,000 records per second. If this keeps the leader busy, the loads
+ * that it sends are outdated. */
 typedef struct {
     guint64 endpoint;
     guint32 prompt_tokens;
@@ -62,8 +63,9 @@
                                    records);
 }
 
-/* The bytes of a list of records of `size` each, and how many; FALSE when it
- * is none, or too long. */
+/* Returns the bytes of a list of records of `size` bytes each, and their
+ * number. Returns FALSE if the length is no multiple of `size`, or there are
+ * more than `max_count` records. */
 static gboolean
 records_read(GVariant *list, gsize size, gsize max_count, const guint8 **data,
              gsize *count)
@@ -74,7 +76,7 @@
     return length % size == 0 && *count <= max_count;
 }
 
-/* NULL when it is no list of loads. */
+/* Takes ownership of `list`. Returns NULL if it is not a list of loads. */
 static GArray *
 loads_read(GVariant *list)
 {
@@ -111,7 +113,8 @@
                                    words);
 }
 
-/* NULL when it is no list of notes. */
+/* Takes ownership of `list`. Returns NULL if it is not a list of part_copy_t.
+ */
 static GArray *
 parts_read(GVariant *list)
 {
@@ -179,7 +182,7 @@
         loads_variant(s->loads), parts_variant(s->parts)));
 }
 
-/* Whether each load is of a later endpoint than the one before. */
+/* Returns whether the loads are in strictly ascending order of endpoints. */
 static gboolean
 in_order(const GArray *loads)
 {
--- a/carobloomd/gateway/order_log.c
+++ b/carobloomd/gateway/order_log.c
@@ -8,9 +8,9 @@
 {
     enum { MS = 1000 };
     char text[FINGERPRINT_TEXT_SIZE];
-    gboolean held = order->left_us > 0;
+    gboolean quarantined = order->left_us > 0;
     if (!event_log_begin(EVENT_STATE,
-                         held ? "request_held" : "request_released")) {
+                         quarantined ? "request_held" : "request_released")) {
         return;
     }
     fingerprint_format(order->fingerprint, text);
--- a/carobloomd/gateway/traffic.c
+++ b/carobloomd/gateway/traffic.c
@@ -4,7 +4,7 @@
 
 typedef enum {
     REACH_UNKNOWN,
-    REACH_WITHIN, /* the data centre */
+    REACH_WITHIN, /* within the same data centre */
     REACH_ACROSS,
     REACHES,
 } reach_t;
@@ -62,7 +62,7 @@
     }
 }
 
-/* Counters live as long as the process: each is looked up once. */
+/* Counters live as long as the process, so each is looked up only once. */
 static const http_traffic_t *
 counters_of(traffic_kind_t kind, reach_t reach)
 {
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -1,5 +1,5 @@
-/* What this instance counted and has under way, told to the control instance
- * that leads and so holds the duties. */
+/* Reports the usage that this instance counted and its requests in flight to
+ * the control instance that leads, which is also the duty holder. */
 #include "carobloom/common/clock.h"
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
@@ -10,9 +10,9 @@
 
 enum {
     MS = 1000,
-    /* Longer than a change of leaders leaves the new one busy. */
+    /* Longer than a new leader is busy after an election. */
     ANSWER_TIMEOUT_US = 600 * MS,
-    /* While nobody is known to lead. */
+    /* Retry delay while no leader is known. */
     IDLE_RETRY_US = 150 * MS,
     PAUSE_MIN_US = 50 * MS,
     ANSWER_MAX = 4096, /* bytes */
@@ -30,8 +30,8 @@
     duty_set_t set;
     guint64 incarnation;
     usage_tally_t *tally;
-    gint64 clock_offset_us; /* the site's time of day less clock_boot_us */
-    char *address;          /* of the control instance reported to */
+    gint64 clock_offset_us; /* the site's time of day minus clock_boot_us */
+    char *address;          /* of the control instance that gets the reports */
     inner_line_t *line;
     guint64 timer;
     gint64 sent_us; /* clock_boot_us */
@@ -120,8 +120,8 @@
     g_bytes_unref(body);
 }
 
-/* The answer was written about halfway between the question and now; both ways
- * take some milliseconds. */
+/* Estimates the offset: the answer was written about halfway between the
+ * report and now, since each direction takes some milliseconds. */
 static void
 update_clock_offset(usage_link_t *link, gint64 wall_us)
 {
@@ -136,7 +136,7 @@
     usage_link_t *link = user;
     usage_answer_t answer;
     if (status != 200 || !usage_answer_read(body, &answer)) {
-        link_wait(link, IDLE_RETRY_US); /* another leads by now */
+        link_wait(link, IDLE_RETRY_US); /* the leader has changed */
         return;
     }
     update_clock_offset(link, answer.wall_us);
@@ -152,7 +152,7 @@
 on_failed(void *user)
 {
     counter_add(counter_get("usage_reports_failed_total", NULL, FALSE), 1);
-    link_wait(user, IDLE_RETRY_US); /* the next report says it all again */
+    link_wait(user, IDLE_RETRY_US); /* the next report repeats the counts */
 }
 
 static const inner_line_ops_t USAGE_OPS = {.answered = on_answered,
@@ -198,7 +198,7 @@
     report(link);
 }
 
-/* ---- life ---- */
+/* ---- create and destroy ---- */
 
 usage_link_t *
 usage_link_create(entry_t *e)
@@ -206,7 +206,7 @@
     duty_set_t set;
     if (platform_duties_decode(e->settings->duties, &set) != PLATFORM_OK ||
         !set.any) {
-        return NULL; /* the settings were checked: nobody asks */
+        return NULL; /* the settings were validated: no duty needs reports */
     }
     usage_link_t *link = g_new0(usage_link_t, 1);
     link->entry = e;
@@ -232,7 +232,7 @@
 usage_link_dump(const usage_link_t *link, GString *text)
 {
     g_string_append_printf(
-        text, "usage reported to %s, own clock off by %ld ms\n",
+        text, "usage reported to %s, local clock off by %ld ms\n",
         link->address != NULL ? link->address : "none",
         (long)((g_get_real_time() - clock_boot_us() - link->clock_offset_us) /
                MS));
--- a/carobloomd/gateway/usage_wire.c
+++ b/carobloomd/gateway/usage_wire.c
@@ -10,7 +10,7 @@
 #define REPORT_FORMAT "(st@" WINDOWS_TYPE "@" WORKS_TYPE "@" SUPPLIES_TYPE ")"
 #define ANSWER_TYPE "(xtu)"
 #define CLOCK_TYPE "(sx)"
-/* What is done, to which window, with which figures. */
+/* The kind of the command, the window, and its counts. */
 #define COMMAND_TYPE "(yt" COUNTS_TYPE ")"
 #define LEDGER_TYPE "a(bt" COUNTS_TYPE ")"
 
@@ -30,7 +30,7 @@
     return g_variant_builder_end(&b);
 }
 
-/* NULL when there are too many. */
+/* Takes ownership of `counts`. Returns NULL if there are too many. */
 static usage_window_t *
 window_read(guint64 window, GVariant *counts)
 {
--- a/include/carobloom/gateway/load_wire.h
+++ b/include/carobloom/gateway/load_wire.h
@@ -1,11 +1,11 @@
-/* How entry instances learn of each other's requests under way, and of the
- * prompt parts that each sent where.
+/* Messages with which entry instances learn of the requests in flight of each
+ * other, and of the prompt parts that each sent to endpoints.
  *
- * An entry instance reports its own to one control instance several times a
- * second and is answered with the sums of all. Control instances tell each
- * other the sums of those that report to them. No leader is needed for it, and
- * what is known is old by two intervals between reports and one between
- * control instances at most. */
+ * An entry instance reports to one control instance several times per second,
+ * and the answer has the sums over all entry instances. Control instances send
+ * each other the sums over the entry instances that report to them. No leader
+ * is needed. Received loads are at most as old as two report intervals of
+ * entry instances and one of control instances. */
 #ifndef CAROBLOOM_GATEWAY_LOAD_WIRE_H
 #define CAROBLOOM_GATEWAY_LOAD_WIRE_H
 
@@ -19,29 +19,30 @@
 
 enum { LOAD_ENDPOINTS_MAX = 20000 };
 
-/* Of an entry instance. */
+/* A report of an entry instance. */
 typedef struct {
     char *from;             /* name of the instance */
     GArray *loads;          /* endpoint_load_t */
     GArray *parts;          /* part_copy_t, since the last report */
-    guint64 parts_received; /* how many notes it was told; see part_feed.h */
+    guint64 parts_received; /* part_copy_t received so far; see part_feed.h */
 } load_report_t;
 
 typedef struct {
-    guint32 report_interval_ms; /* until the next report is asked for */
+    guint32 report_interval_ms; /* until the next report */
     GArray *loads;              /* endpoint_load_t, over all entry instances */
-    GArray *parts;              /* part_copy_t that were not told before */
-    guint64 parts_received;     /* to be said with the next report */
+    GArray *parts;              /* part_copy_t that were not sent before */
+    guint64 parts_received;     /* to be sent with the next report */
 } load_answer_t;
 
-/* Of all entry instances that report to one control instance, to another. */
+/* The sums over the entry instances that report to one control instance, sent
+ * to another control instance. */
 typedef struct {
     char *from;        /* IP:PORT of the control instance */
-    char *data_centre; /* where it stands; empty: told before */
+    char *data_centre; /* of the control instance; empty: sent before */
     guint64 sequence;  /* see load_sum_apply_changes */
     guint64 base;
     GArray *loads; /* endpoint_load_t that changed, in order of endpoints */
-    GArray *parts; /* part_copy_t that were not told before */
+    GArray *parts; /* part_copy_t that were not sent before */
 } load_sums_t;
 
 GBytes *load_report_write(const load_report_t *report);
