--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -241,9 +241,9 @@
 load_link_note_part(load_link_t *link, guint64 part,
                     const endpoint_t *endpoint)
 {
-    part_copy_t note = {.part = part, .endpoint = endpoint->hash};
+    part_copy_t copy = {.part = part, .endpoint = endpoint->hash};
     if (link->parts->len < PARTS_MAX) {
-        g_array_append_val(link->parts, note);
+        g_array_append_val(link->parts, copy);
     }
 }
 
--- a/carobloomd/gateway/sync_wire.c
+++ b/carobloomd/gateway/sync_wire.c
@@ -171,15 +171,15 @@
     GVariant *delta;
     GVariant *leases;
     GVariant *controls;
-    GVariant *held;
+    GVariant *orders;
     GVariant *limits;
     gboolean has_delta;
     gboolean packed;
     g_variant_get(v, ANSWER_FORMAT, &a->epoch, &a->cursor, &a->full, &a->more,
                   &a->confirmed, &a->version, &a->base, &has_delta, &delta,
                   &packed, &leases, &controls, &a->data_centre, &a->entries,
-                  &a->quarantine_cursor, &held, &a->limit_cursor, &limits);
-    a->quarantine_orders = quarantine_orders_read(held);
+                  &a->quarantine_cursor, &orders, &a->limit_cursor, &limits);
+    a->quarantine_orders = quarantine_orders_read(orders);
     a->limits = limit_states_read(limits);
     a->delta = codec_take_bytes(delta);
     if (!has_delta) {
--- a/carobloomd/gateway/traffic.c
+++ b/carobloomd/gateway/traffic.c
@@ -62,7 +62,7 @@
     }
 }
 
-/* Counters live as long as the process, so each is looked up only once. */
+/* Counters live as long as the process, so each is looked up once. */
 static const http_traffic_t *
 counters_of(traffic_kind_t kind, reach_t reach)
 {
