--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,4 +1,5 @@
-/* Limits that endpoints name, with real processes. */
+/* Tests that the entry instances together keep the rate limits that endpoints
+ * announce, with real processes. */
 #include <signal.h>
 #include <string.h>
 
@@ -12,30 +13,31 @@
     ENTRIES = 6,
     ENDPOINTS = 4,
     CALLERS = 10,
-    EVERY_MS = 250, /* of each caller: 40 requests a second in all */
-    /* The rule: in 4 s at most one and a half times the limit and 5 more, of
-     * instances that were told half a second before, once the limit has been
-     * named for 3 s. */
+    CALL_INTERVAL_MS = 250, /* per caller: 40 requests per second in total */
+    /* The bound: from 3 s after the announcement of a limit on, at most 1.5
+     * times the limit plus 5 requests arrive in any 4 s. Arrivals in the first
+     * half second after the announcement don't count, because the instances
+     * learn of the limit meanwhile. */
     WINDOW_MS = 4000,
-    TOLD_MS = 500,
-    STABLE_MS = 3000,
-    BEFORE_MS = 1000, /* of load before the limits are named */
-    PLAY_MS = 9000,
+    REACTION_MS = 500,
+    SETTLE_MS = 3000,
+    WARMUP_MS = 1000, /* of load before limits are announced */
+    LOAD_MS = 9000,
 };
 
 typedef struct {
     fleet_t *fleet;
     const char *target;
     gint stop;     /* atomic */
-    gint answered; /* atomic; the same */
-    gint refused;  /* 503, with a time to come back */
-    gint failed;   /* any other end */
+    gint answered; /* 200, complete; atomic */
+    gint refused;  /* 503 with Retry-After; atomic */
+    gint failed;   /* any other outcome; atomic */
 } load_t;
 
 typedef struct {
     load_t *load;
     guint number;
-    const char *target; /* NULL: the load's */
+    const char *target; /* NULL: that of the load */
     gint answered;
 } caller_t;
 
@@ -62,7 +64,8 @@
     caller_t *c = data;
     load_t *load = c->load;
     for (guint i = 0; !g_atomic_int_get(&load->stop); i++) {
-        gint64 next_us = g_get_monotonic_time() + (gint64)EVERY_MS * MS;
+        gint64 next_us =
+            g_get_monotonic_time() + (gint64)CALL_INTERVAL_MS * MS;
         char *id = g_strdup_printf("c%u-%u", c->number, i);
         guint entry = (c->number + i) % load->fleet->entries;
         reply_t *reply =
@@ -82,16 +85,16 @@
             const char *limit)
 {
     double allowed = 1.5 * g_ascii_strtod(limit, NULL) * WINDOW_MS / MS + 5;
-    gint64 named_us = fleet_named_us(endpoint);
-    guint most = fleet_most_arrivals(endpoint, named_us + (gint64)TOLD_MS * MS,
-                                     named_us + (gint64)STABLE_MS * MS,
-                                     G_MAXINT64, WINDOW_MS);
-    if (named_us == 0 || most > allowed) {
-        printf("%s: limit %s, %u in 4 s of %.0f allowed\n", name, limit, most,
-               allowed);
+    gint64 announced_us = fleet_named_us(endpoint);
+    guint max_arrivals = fleet_most_arrivals(
+        endpoint, announced_us + (gint64)REACTION_MS * MS,
+        announced_us + (gint64)SETTLE_MS * MS, G_MAXINT64, WINDOW_MS);
+    if (announced_us == 0 || max_arrivals > allowed) {
+        printf("%s: limit %s, %u in 4 s of %.0f allowed\n", name, limit,
+               max_arrivals, allowed);
     }
-    CU_ASSERT(named_us != 0);
-    CU_ASSERT(most <= allowed);
+    CU_ASSERT(announced_us != 0);
+    CU_ASSERT(max_arrivals <= allowed);
 }
 
 static void
@@ -113,7 +116,7 @@
     }
 }
 
-/* Arrivals from a moment on, for so long. */
+/* Counts the arrivals in the `ms` after `from_us`. */
 static guint
 arrivals_in(const fleet_process_t *endpoint, gint64 from_us, int ms)
 {
@@ -130,11 +133,12 @@
 typedef struct {
     const char *name;
     const char *target;
-    const char *limits[ENDPOINTS]; /* NULL: it names none */
-    /* What happens meanwhile, or NULL. */
-    void (*meanwhile)(fleet_t *fleet);
-    gboolean used;  /* two thirds of all limits, each endpoint some */
-    guint controls; /* 0: one */
+    const char *limits[ENDPOINTS]; /* NULL: announces none */
+    /* Disrupts the fleet under load, or NULL. */
+    void (*disrupt)(fleet_t *fleet);
+    gboolean used;  /* check that two thirds of all limits are used, and each
+                       endpoint gets requests */
+    guint controls; /* 0: CONTROLS */
 } limit_case_t;
 
 static void
@@ -176,7 +180,7 @@
     fleet_signal(fleet_entry(fleet, 0), SIGCONT);
 }
 
-/* No quorum is left, and most limits have no owner that answers. */
+/* Loses the quorum; two of three owners don't answer. */
 static void
 lose_quorum(fleet_t *fleet)
 {
@@ -184,7 +188,7 @@
     fleet_kill(fleet_control(fleet, 1));
 }
 
-/* Each in turn, so that the leader is among them. */
+/* Kills each control instance in turn, so that the leader is among them. */
 static void
 kill_controls(fleet_t *fleet)
 {
@@ -218,18 +222,20 @@
      3},
 };
 
-/* The endpoints are used up to their limits, and none goes without. */
+/* At least two thirds of the sum of the limits is used, and every endpoint
+ * gets requests. */
 static void
 check_used(const limit_case_t *c, fleet_t *fleet, gint64 until_us)
 {
     double allowed = 0;
     guint all = 0;
     for (guint i = 0; i < ENDPOINTS; i++) {
-        guint got = arrivals_in(fleet_endpoint(fleet, i),
-                                until_us - (gint64)WINDOW_MS * MS, WINDOW_MS);
+        guint arrivals =
+            arrivals_in(fleet_endpoint(fleet, i),
+                        until_us - (gint64)WINDOW_MS * MS, WINDOW_MS);
         allowed += g_ascii_strtod(c->limits[i], NULL) * WINDOW_MS / MS;
-        all += got;
-        CU_ASSERT(got > 0);
+        all += arrivals;
+        CU_ASSERT(arrivals > 0);
     }
     if (all * 3 < allowed * 2) {
         printf("%s: %u sent in 4 s of %.0f\n", c->name, all, allowed);
@@ -247,15 +253,15 @@
     GThread *threads[CALLERS];
     CU_ASSERT_FATAL(fleet_up(load.fleet, 1));
     load_start(&load, callers, threads);
-    fleet_sleep(BEFORE_MS);
+    fleet_sleep(WARMUP_MS);
     for (guint i = 0; i < ENDPOINTS; i++) {
         fleet_limit(fleet_endpoint(load.fleet, i), c->limits[i]);
     }
-    fleet_sleep(BEFORE_MS);
-    if (c->meanwhile != NULL) {
-        c->meanwhile(load.fleet);
+    fleet_sleep(WARMUP_MS);
+    if (c->disrupt != NULL) {
+        c->disrupt(load.fleet);
     }
-    fleet_sleep(PLAY_MS);
+    fleet_sleep(LOAD_MS);
     gint64 until_us = g_get_monotonic_time();
     load_stop(&load, threads);
     for (guint i = 0; i < ENDPOINTS; i++) {
@@ -266,53 +272,54 @@
     if (c->used) {
         check_used(c, load.fleet, until_us);
     }
-    if (c->meanwhile == NULL) {
+    if (c->disrupt == NULL) {
         CU_ASSERT_EQUAL(load.failed, 0);
     }
     fleet_destroy(load.fleet);
 }
 
-/* An endpoint that named a limit went on getting what it got before. */
+/* Guards against an endpoint that announced a limit and still gets as many
+ * requests as before. */
 static void
 test_limit_kept_together(void)
 {
-    const char *only = g_getenv("LIMIT_CASE"); /* to look at one of them */
+    const char *selected = g_getenv("LIMIT_CASE"); /* runs a single case */
     for (gsize i = 0; i < G_N_ELEMENTS(LIMIT_CASES); i++) {
-        if (only == NULL || g_str_equal(only, LIMIT_CASES[i].name)) {
+        if (selected == NULL || g_str_equal(selected, LIMIT_CASES[i].name)) {
             limit_case(&LIMIT_CASES[i]);
         }
     }
 }
 
-/* ---- what comes after the first word ---- */
+/* ---- changes of limits and instances ---- */
 
-/* A fleet under load whose endpoints are told what to name. */
+/* A fleet under load whose endpoints announce limits on command. */
 typedef struct {
     load_t load;
     caller_t callers[CALLERS];
     GThread *threads[CALLERS];
-} play_t;
+} scenario_t;
 
 static void
-play_start(play_t *p, const char *target)
+scenario_start(scenario_t *p, const char *target)
 {
-    *p = (play_t){0};
+    *p = (scenario_t){0};
     p->load.fleet = fleet_create(CONTROLS, ENTRIES, ENDPOINTS);
     p->load.target = target;
     CU_ASSERT_FATAL(fleet_up(p->load.fleet, 1));
     load_start(&p->load, p->callers, p->threads);
-    fleet_sleep(BEFORE_MS);
+    fleet_sleep(WARMUP_MS);
 }
 
 static void
-play_stop(play_t *p)
+scenario_stop(scenario_t *p)
 {
     load_stop(&p->load, p->threads);
     fleet_destroy(p->load.fleet);
 }
 
 static void
-limit_all(play_t *p, const char *text)
+limit_all(scenario_t *p, const char *text)
 {
     for (guint i = 0; i < ENDPOINTS; i++) {
         fleet_limit(fleet_endpoint(p->load.fleet, i), text);
@@ -320,48 +327,50 @@
 }
 
 static guint
-arrivals_since(play_t *p, guint endpoint, int ms)
+arrivals_since(scenario_t *p, guint endpoint, int ms)
 {
     gint64 from_us = g_get_monotonic_time() - (gint64)ms * MS;
     return arrivals_in(fleet_endpoint(p->load.fleet, endpoint), from_us, ms);
 }
 
-/* Endpoints whose limits were lifted got nothing of what they can take. */
+/* Guards against endpoints whose limits were lifted and that still got no more
+ * requests than the limits allowed. */
 static void
 test_lifted(void)
 {
-    enum { LIFTED_MS = 3000, PART_MS = 2000, LEAST = 5 };
+    enum { LIFTED_MS = 3000, MEASURE_MS = 2000, ARRIVALS_MIN = 5 };
     static const char *const LIMITS[] = {"4", "1", "0.4", "0"};
     for (gsize i = 0; i < G_N_ELEMENTS(LIMITS); i++) {
-        play_t p;
-        play_start(&p, "/safe/x");
+        scenario_t p;
+        scenario_start(&p, "/safe/x");
         limit_all(&p, LIMITS[i]);
         fleet_sleep(WINDOW_MS);
         limit_all(&p, NULL);
         fleet_sleep(LIFTED_MS);
         gint refused = g_atomic_int_get(&p.load.refused);
-        fleet_sleep(PART_MS);
+        fleet_sleep(MEASURE_MS);
         gint later = g_atomic_int_get(&p.load.refused) - refused;
-        guint got = 0;
+        guint arrivals = 0;
         for (guint k = 0; k < ENDPOINTS; k++) {
-            got += arrivals_since(&p, k, PART_MS);
+            arrivals += arrivals_since(&p, k, MEASURE_MS);
         }
         if (later > 0) {
             printf("%s lifted: %d refused after 3 s\n", LIMITS[i], later);
         }
         CU_ASSERT_EQUAL(later, 0);
-        CU_ASSERT(got >= LEAST * ENDPOINTS);
-        play_stop(&p);
+        CU_ASSERT(arrivals >= ARRIVALS_MIN * ENDPOINTS);
+        scenario_stop(&p);
     }
 }
 
-/* A limit that was lowered was not kept, or one that was raised not used. */
+/* Guards against a lowered limit that is exceeded, and a raised one that is
+ * not used. */
 static void
 test_changed(void)
 {
     enum { CHANGED_MS = 6000 };
-    play_t p;
-    play_start(&p, "/safe/x");
+    scenario_t p;
+    scenario_start(&p, "/safe/x");
     limit_all(&p, "8");
     fleet_sleep(WINDOW_MS);
     limit_all(&p, "0.4");
@@ -373,25 +382,26 @@
     fleet_sleep(CHANGED_MS);
     guint all = 0;
     for (guint i = 0; i < ENDPOINTS; i++) {
-        guint got = arrivals_since(&p, i, WINDOW_MS);
-        CU_ASSERT(got <= 53);
-        all += got;
+        guint arrivals = arrivals_since(&p, i, WINDOW_MS);
+        CU_ASSERT(arrivals <= 53);
+        all += arrivals;
     }
     CU_ASSERT(all * 3 >= 2 * 8 * ENDPOINTS * WINDOW_MS / MS);
-    play_stop(&p);
+    scenario_stop(&p);
 }
 
-/* A word that is no number cost an answer, or was taken for a limit. */
+/* Guards against a malformed rate that fails the request, or is taken for a
+ * limit. */
 static void
 test_malformed(void)
 {
-    static const char *const WORDS[] = {"-1",   "nan", "1e9", "3,4", "",
+    static const char *const RATES[] = {"-1",   "nan", "1e9", "3,4", "",
                                         "4\n4", "+4",  "0x4", ".",   "4."};
-    play_t p;
-    play_start(&p, "/safe/x");
-    for (gsize i = 0; i < G_N_ELEMENTS(WORDS); i++) {
-        limit_all(&p, WORDS[i]);
-        fleet_sleep(BEFORE_MS / 2);
+    scenario_t p;
+    scenario_start(&p, "/safe/x");
+    for (gsize i = 0; i < G_N_ELEMENTS(RATES); i++) {
+        limit_all(&p, RATES[i]);
+        fleet_sleep(WARMUP_MS / 2);
     }
     CU_ASSERT(g_atomic_int_get(&p.load.answered) > 100);
     CU_ASSERT_EQUAL(p.load.refused, 0);
@@ -399,18 +409,18 @@
     fleet_process_t *entry = fleet_entry(p.load.fleet, 0);
     CU_ASSERT(fleet_counter(entry, "limits_malformed_total") > 0);
     CU_ASSERT_EQUAL(fleet_counter(entry, "limits_begun_total"), 0);
-    play_stop(&p);
+    scenario_stop(&p);
 }
 
-/* An endpoint that started again, under its id or a new one, was kept to what
- * it had named before. */
+/* Guards against a restarted endpoint, under the same or a new id, that is
+ * still limited to the rate of its previous incarnation. */
 static void
 test_started_again(void)
 {
-    enum { BACK_MS = 3000, PART_MS = 2000, LEAST = 5 };
+    enum { RESTARTED_MS = 3000, MEASURE_MS = 2000, ARRIVALS_MIN = 5 };
     for (guint same_id = 0; same_id < 2; same_id++) {
-        play_t p;
-        play_start(&p, "/safe/x");
+        scenario_t p;
+        scenario_start(&p, "/safe/x");
         limit_all(&p, "0");
         fleet_sleep(WINDOW_MS);
         for (guint i = 0; i < ENDPOINTS; i++) {
@@ -421,21 +431,22 @@
                 same_id ? g_strdup_printf("%s.%u", e->name, e->starts) : NULL;
             fleet_start(p.load.fleet, e);
         }
-        fleet_sleep(BACK_MS);
+        fleet_sleep(RESTARTED_MS);
         gint refused = g_atomic_int_get(&p.load.refused);
-        fleet_sleep(PART_MS);
+        fleet_sleep(MEASURE_MS);
         CU_ASSERT_EQUAL(g_atomic_int_get(&p.load.refused), refused);
-        play_stop(&p);
+        scenario_stop(&p);
     }
 }
 
-/* Instances that were added, or started again, knew of no limit. */
+/* Guards against added or restarted instances that exceed limits announced
+ * before they started. */
 static void
 test_instances_come(void)
 {
     enum { ADDED = 3 };
-    play_t p;
-    play_start(&p, "/safe/x");
+    scenario_t p;
+    scenario_start(&p, "/safe/x");
     fleet_t *f = p.load.fleet;
     limit_all(&p, "1");
     fleet_sleep(WINDOW_MS);
@@ -454,17 +465,19 @@
     for (guint i = 0; i < ENDPOINTS; i++) {
         check_bound("instances come", fleet_endpoint(f, i), "1");
     }
-    play_stop(&p);
+    scenario_stop(&p);
 }
 
-/* Instances that sent nothing to an endpoint did not hear of its limit while
- * the limit's owner was gone, nor did one that started meanwhile. */
+/* Guards against instances that don't learn of a limit while its owner is
+ * down: instances that sent nothing to the endpoint, and one that started
+ * meanwhile. */
 static void
 test_owner_gone(void)
 {
-    /* So many that some are surely owned by the one that is gone. */
-    enum { OWNERS = 3, LIMITED = 12, TOLD_ALL_MS = 2000 };
-    /* Endpoints that turn to another control instance are heard of late. */
+    /* Enough endpoints that the lost control instance owns some of the limits.
+     */
+    enum { OWNERS = 3, LIMITED = 12, PUBLISHED_MS = 2000 };
+    /* Endpoints that switch to another control instance become known late. */
     enum { ALL_KNOWN_MS = 10000, PAUSE_MS = 10 };
     fleet_t *f = fleet_create(OWNERS, ENTRIES, LIMITED);
     CU_ASSERT_FATAL(fleet_up(f, 1));
@@ -472,22 +485,22 @@
     for (guint i = 0; i < LIMITED; i++) {
         fleet_limit(fleet_endpoint(f, i), "0.4");
     }
-    fleet_process_t *first = fleet_entry(f, 0);
+    fleet_process_t *sender = fleet_entry(f, 0);
     gint64 until_us = g_get_monotonic_time() + (gint64)ALL_KNOWN_MS * MS;
-    while (fleet_counter(first, "limits_begun_total") < LIMITED &&
+    while (fleet_counter(sender, "limits_begun_total") < LIMITED &&
            g_get_monotonic_time() < until_us) {
         fleet_sleep(PAUSE_MS);
         reply_t *reply =
-            fleet_post(first, "/safe/x", "one", FLEET_KEY, "", "x");
+            fleet_post(sender, "/safe/x", "one", FLEET_KEY, "", "x");
         CU_ASSERT(reply->status == 200 || reply->status == 503);
         reply_free(reply);
     }
-    fleet_sleep(TOLD_ALL_MS);
-    fleet_process_t *again = fleet_entry(f, ENTRIES - 1);
-    fleet_kill(again);
-    fleet_start(f, again);
-    CU_ASSERT_FATAL(fleet_wait_ready(again));
-    fleet_sleep(TOLD_ALL_MS / 2);
+    fleet_sleep(PUBLISHED_MS);
+    fleet_process_t *restarted = fleet_entry(f, ENTRIES - 1);
+    fleet_kill(restarted);
+    fleet_start(f, restarted);
+    CU_ASSERT_FATAL(fleet_wait_ready(restarted));
+    fleet_sleep(PUBLISHED_MS / 2);
     for (guint i = 0; i < ENTRIES; i++) {
         guint64 known = fleet_counter(fleet_entry(f, i), "limits_begun_total");
         if (known != LIMITED) {
@@ -498,25 +511,27 @@
     fleet_destroy(f);
 }
 
-/* The sample configuration with /once/ less urgent than the rest. */
+/* The sample configuration, with a lower priority for /once/ than for the
+ * other routes. */
 static char *
 urgent_config(void)
 {
-    static const char RANK[] = "\"Priority\":";
+    static const char PRIORITY[] = "\"Priority\":";
     char *text = fleet_config(2, NULL);
-    gssize once = str_find(str_from_cstr(text), STR("/once/"), 0);
-    gssize rank = str_find(str_from_cstr(text), str_from_cstr(RANK),
-                           (gsize)MAX(once, 0));
-    CU_ASSERT_FATAL(once > 0 && rank > once);
-    text[(gsize)rank + strlen(RANK)] = '3';
+    gssize route = str_find(str_from_cstr(text), STR("/once/"), 0);
+    gssize priority = str_find(str_from_cstr(text), str_from_cstr(PRIORITY),
+                               (gsize)MAX(route, 0));
+    CU_ASSERT_FATAL(route > 0 && priority > route);
+    text[(gsize)priority + strlen(PRIORITY)] = '3';
     return text;
 }
 
-/* Less urgent requests took what the urgent ones needed. */
+/* Guards against less urgent requests that take the grants that urgent ones
+ * need. */
 static void
 test_urgent_first(void)
 {
-    play_t p = {0};
+    scenario_t p = {0};
     p.load.fleet = fleet_create(CONTROLS, ENTRIES, ENDPOINTS);
     CU_ASSERT_FATAL(fleet_up(p.load.fleet, 1));
     char *text = urgent_config();
@@ -527,7 +542,7 @@
         p.callers[i].target = i % 2 == 0 ? "/safe/x" : "/once/x";
     }
     load_start(&p.load, p.callers, p.threads);
-    fleet_sleep(PLAY_MS);
+    fleet_sleep(LOAD_MS);
     load_stop(&p.load, p.threads);
     gint urgent = 0;
     gint others = 0;
