--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -618,7 +618,7 @@
     g_string_append_printf(
         text,
         "limit of %s (%016" G_GINT64_MODIFIER "x): %s %.2f a second, %u "
-        "granted for %ld ms, named here %ld ms ago, %" G_GUINT64_FORMAT
+        "granted for %ld ms, announced here %ld ms ago, %" G_GUINT64_FORMAT
         " sent, %" G_GUINT64_FORMAT " kept away, owner %s%s\n",
         e->id, e->hash, l->limited ? "in force," : "lifted,", l->rate,
         l->tokens,
