--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -401,7 +401,7 @@
 is_too_large(service_plan_t *s)
 {
     guint64 tellings =
-        (guint64)s->standing * entries_fresh(s->duty->duties->control);
+        (guint64)s->standing * active_entries_count(s->duty->duties->control);
     if (tellings > TELLINGS_MOST && !s->too_large &&
         event_log_begin(EVENT_STATE, "engines_not_planned")) {
         event_log_cstr("service", s->service);
--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -10,17 +10,18 @@
 
 enum {
     MS = 1000,
-    TICK_US = 25 * MS,
+    TICK_INTERVAL_US = 25 * MS,
     /* A leader is replaced within about twice the election timeout, well
      * under the 3 s after which the site counts as calm again; at 0.15 of a
      * core a heartbeat to four voters each 150 ms costs about 3% of it. */
-    ELECTION_US = 800 * MS,
-    HEARTBEAT_US = 150 * MS,
-    HELLO_US = 250 * MS,
+    ELECTION_TIMEOUT_US = 800 * MS,
+    HEARTBEAT_INTERVAL_US = 150 * MS,
+    HELLO_INTERVAL_US = 250 * MS,
     /* A put that no quorum has by then is left to the caller's next try. */
-    PUT_US = 3000 * MS,
-    DISK_RETRY_US = 500 * MS, /* a full or refusing disk is tried again */
-    COMPACT_BYTES = 8 * 1024 * 1024, /* of a disk of 128 MB */
+    PUT_TIMEOUT_US = 3000 * MS,
+    DISK_RETRY_INTERVAL_US =
+        500 * MS, /* a full or refusing disk is tried again */
+    COMPACT_MIN_BYTES = 8 * 1024 * 1024, /* of a disk of 128 MB */
 };
 
 /* ---- starting ---- */
@@ -30,10 +31,10 @@
 {
     guint changed = log_state_apply(&log->state, command);
     if (changed & LOG_STATE_CONFIG) {
-        config_log_tell(log);
+        config_log_publish_config(log);
     }
     if (changed & LOG_STATE_USAGE) {
-        config_log_tell_usage(log);
+        config_log_publish_usage(log);
     }
 }
 
@@ -42,8 +43,8 @@
 {
     voter_settings_t settings = {
         .id = log->id,
-        .election_timeout_us = ELECTION_US,
-        .heartbeat_us = HEARTBEAT_US,
+        .election_timeout_us = ELECTION_TIMEOUT_US,
+        .heartbeat_us = HEARTBEAT_INTERVAL_US,
         .seed = log->id ^ (guint64)clock_boot_us(),
     };
     log->core = voter_create(&settings, &state->hard, &state->snapshot,
@@ -83,11 +84,11 @@
     replica_log_t none;
     char *why = NULL;
     voter_config_t config;
-    gboolean founds = founding_config(log, &config);
-    log->founds = founds;
-    log->id = founds ? founder_id(log->self)
-                     : (guint64)g_random_int() << 32 | g_random_int();
-    if (!founds) {
+    gboolean is_founder = founding_config(log, &config);
+    log->is_founder = is_founder;
+    log->id = is_founder ? founder_id(log->self)
+                         : (guint64)g_random_int() << 32 | g_random_int();
+    if (!is_founder) {
         config = (voter_config_t){0};
     }
     store_state_t state = {
@@ -101,7 +102,7 @@
         core_start(log, &state);
     }
     if (event_log_begin(EVENT_STATE, "voter_empty_start")) {
-        event_log_cstr("as", founds ? "founder" : "learner");
+        event_log_cstr("as", is_founder ? "founder" : "learner");
         event_log_cstr("outcome", why != NULL ? why : "started");
         event_log_end();
     }
@@ -126,9 +127,9 @@
         return FALSE;
     }
     log->id = state.id;
-    gboolean sound = TRUE;
+    gboolean succeeded = TRUE;
     if (state.empty) {
-        sound = start_empty(log);
+        succeeded = start_empty(log);
     }
     else {
         core_start(log, &state);
@@ -141,15 +142,15 @@
         }
     }
     store_state_clear(&state);
-    return sound;
+    return succeeded;
 }
 
 static void
 voter_peer_free(gpointer data)
 {
-    voter_peer_t *c = data;
-    g_free(c->name);
-    g_free(c);
+    voter_peer_t *peer = data;
+    g_free(peer->name);
+    g_free(peer);
 }
 
 config_log_t *
@@ -161,8 +162,8 @@
     log->self = g_strdup(self);
     log->owner = owner;
     log_state_init(&log->state);
-    log->owed = g_array_new(FALSE, FALSE, sizeof(owed_t));
-    log->heard =
+    log->pending = g_array_new(FALSE, FALSE, sizeof(pending_commit_t));
+    log->peers =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, voter_peer_free);
     log->seeds = g_ptr_array_new_with_free_func(g_free);
     for (int i = 0; settings->seeds[i] != NULL; i++) {
@@ -185,8 +186,8 @@
     g_clear_pointer(&log->core, voter_destroy);
     g_clear_pointer(&log->store, log_store_close);
     log_state_clear(&log->state);
-    g_array_unref(log->owed);
-    g_hash_table_unref(log->heard);
+    g_array_unref(log->pending);
+    g_hash_table_unref(log->peers);
     g_ptr_array_unref(log->seeds);
     g_free(log->self);
     g_free(log);
@@ -210,7 +211,7 @@
     }
     counter_add(counter_get("voter_disk_failures_total", NULL, FALSE), 1);
     g_free(why);
-    log->retry_us = clock_boot_us() + DISK_RETRY_US;
+    log->retry_us = clock_boot_us() + DISK_RETRY_INTERVAL_US;
     log->view =
         (config_view_message_t){.base = {CONFIG_LOG_VIEW, message_free_plain}};
     task_send(log->owner, g_memdup2(&log->view, sizeof(log->view)));
@@ -241,7 +242,7 @@
 }
 
 static const char *
-name_of(const config_log_t *log, guint64 id)
+member_name(const config_log_t *log, guint64 id)
 {
     const voter_member_t *member =
         voter_config_find(voter_config(log->core), id);
@@ -250,7 +251,7 @@
     }
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, log->heard);
+    g_hash_table_iter_init(&iter, log->peers);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         if (((voter_peer_t *)value)->id == id) {
             return ((voter_peer_t *)value)->name;
@@ -264,7 +265,7 @@
 {
     for (guint i = 0; i < messages->len; i++) {
         const voter_message_t *m = messages->pdata[i];
-        const char *name = name_of(log, m->to);
+        const char *name = member_name(log, m->to);
         if (name != NULL) {
             GBytes *bytes = voter_message_write(m);
             config_log_send(log, name, bytes);
@@ -275,18 +276,19 @@
 
 /* Answers the puts whose version, or a higher one, is committed. */
 static void
-settle_owed(config_log_t *log)
+answer_pending(config_log_t *log)
 {
-    for (guint i = log->owed->len; i > 0; i--) {
-        owed_t owed = g_array_index(log->owed, owed_t, i - 1);
-        if (owed.version <= log->state.version) {
-            config_log_result(log, owed.call, TRUE);
-            g_array_remove_index_fast(log->owed, i - 1);
+    for (guint i = log->pending->len; i > 0; i--) {
+        pending_commit_t pending =
+            g_array_index(log->pending, pending_commit_t, i - 1);
+        if (pending.version <= log->state.version) {
+            config_log_send_result(log, pending.call, TRUE);
+            g_array_remove_index_fast(log->pending, i - 1);
         }
-        else if (clock_boot_us() > owed.until_us ||
+        else if (clock_boot_us() > pending.until_us ||
                  voter_role(log->core) != ROLE_LEADER) {
-            config_log_result(log, owed.call, FALSE);
-            g_array_remove_index_fast(log->owed, i - 1);
+            config_log_send_result(log, pending.call, FALSE);
+            g_array_remove_index_fast(log->pending, i - 1);
         }
     }
 }
@@ -294,7 +296,7 @@
 static void
 compact_if_large(config_log_t *log)
 {
-    if (log_store_bytes(log->store) < COMPACT_BYTES) {
+    if (log_store_bytes(log->store) < COMPACT_MIN_BYTES) {
         return;
     }
     char *why = NULL;
@@ -336,14 +338,14 @@
     gint64 now = clock_boot_us();
     guint64 leader = voter_leader(log->core);
     const char *name = leader == log->id ? log->self
-                       : leader != 0     ? name_of(log, leader)
+                       : leader != 0     ? member_name(log, leader)
                                          : NULL;
     config_view_message_t view = {
         .base = {CONFIG_LOG_VIEW, message_free_plain},
         .leads = voter_role(log->core) == ROLE_LEADER,
         .term = voter_term(log->core),
         .voters = *voter_config(log->core),
-        .first_start = log->founds,
+        .first_start = log->is_founder,
     };
     view.read_until_us =
         voter_may_read(log->core, now) ? voter_lease_end_us(log->core) : 0;
@@ -356,7 +358,7 @@
 }
 
 static void
-note_role(config_log_t *log)
+record_role(config_log_t *log)
 {
     voter_role_t role = voter_role(log->core);
     if (role == log->role) {
@@ -374,7 +376,7 @@
 }
 
 static void
-turn(config_log_t *log)
+process_ready(config_log_t *log)
 {
     voter_ready_t ready;
     while (!log->failed && voter_ready(log->core, &ready)) {
@@ -398,8 +400,8 @@
     if (log->failed) {
         return;
     }
-    note_role(log);
-    settle_owed(log);
+    record_role(log);
+    answer_pending(log);
     compact_if_large(log);
     send_view(log);
 }
@@ -411,7 +413,7 @@
 {
     gint64 now = clock_boot_us();
     if (log->failed || voter_role(log->core) != ROLE_LEADER) {
-        config_log_result(log, m->call, FALSE);
+        config_log_send_result(log, m->call, FALSE);
         return;
     }
     guint64 index;
@@ -419,12 +421,13 @@
     int result = voter_propose(log->core, command, &index, now);
     g_bytes_unref(command);
     if (result != VOTER_OK) {
-        config_log_result(log, m->call, FALSE);
+        config_log_send_result(log, m->call, FALSE);
         return;
     }
-    owed_t owed = {
-        .call = m->call, .version = m->version, .until_us = now + PUT_US};
-    g_array_append_val(log->owed, owed);
+    pending_commit_t pending = {.call = m->call,
+                                .version = m->version,
+                                .until_us = now + PUT_TIMEOUT_US};
+    g_array_append_val(log->pending, pending);
 }
 
 /* What is lost on the way is proposed again by the owner. */
@@ -443,12 +446,12 @@
 /* After a failed write what is durable is known only from the disk itself:
  * the voter starts from it as after a crash. */
 static void
-start_again(config_log_t *log)
+restart_from_disk(config_log_t *log)
 {
     g_clear_pointer(&log->core, voter_destroy);
     g_clear_pointer(&log->store, log_store_close);
     log->failed = !log_open(log);
-    log->retry_us = clock_boot_us() + DISK_RETRY_US;
+    log->retry_us = clock_boot_us() + DISK_RETRY_INTERVAL_US;
 }
 
 static void
@@ -457,24 +460,24 @@
     config_log_t *log = data;
     gint64 now = clock_boot_us();
     if (log->failed && now >= log->retry_us) {
-        start_again(log);
+        restart_from_disk(log);
     }
     if (log->failed) {
         return;
     }
     voter_tick(log->core, now);
-    if (now - log->hello_us >= HELLO_US) {
-        log->hello_us = now;
-        members_say_hello(log);
+    if (now - log->last_hello_us >= HELLO_INTERVAL_US) {
+        log->last_hello_us = now;
+        members_send_hello(log);
         if (voter_role(log->core) == ROLE_LEADER) {
             members_repair(log, now);
         }
     }
-    turn(log);
+    process_ready(log);
 }
 
 static void
-log_kept_failure(const char *event, char *why)
+log_local_state_failure(const char *event, char *why)
 {
     if (event_log_begin(EVENT_STATE, event)) {
         event_log_cstr("why", why);
@@ -484,27 +487,29 @@
 }
 
 static void
-handle_keep(config_log_t *log, const config_bytes_message_t *m)
+handle_save_local(config_log_t *log, const config_bytes_message_t *m)
 {
     char *why = NULL;
     if (log->store == NULL) {
-        log_kept_failure("kept_write_failed", g_strdup("no data folder"));
+        log_local_state_failure("kept_write_failed",
+                                g_strdup("no data folder"));
     }
     else if (log_store_keep(log->store, m->bytes, &why) != STORE_OK) {
-        log_kept_failure("kept_write_failed", why);
+        log_local_state_failure("kept_write_failed", why);
     }
 }
 
 static void
-tell_kept(config_log_t *log)
+publish_local_state(config_log_t *log)
 {
     char *why = NULL;
     GBytes *bytes;
     if (log_store_kept(log->store, &bytes, &why) != STORE_OK) {
-        log_kept_failure("kept_read_failed", why);
+        log_local_state_failure("kept_read_failed", why);
     }
     else if (bytes != NULL) {
-        task_send(log->owner, config_bytes_message(CONFIG_LOG_KEPT, bytes));
+        task_send(log->owner,
+                  config_bytes_message(CONFIG_LOG_LOCAL_STATE, bytes));
     }
 }
 
@@ -512,10 +517,11 @@
 config_log_begin(void *state)
 {
     config_log_t *log = state;
-    tell_kept(log);
-    config_log_tell(log);
-    config_log_tell_usage(log);
-    timers_subscribe(task_timers(log->task), TICK_US, TICK_US, on_tick, log);
+    publish_local_state(log);
+    config_log_publish_config(log);
+    config_log_publish_usage(log);
+    timers_subscribe(task_timers(log->task), TICK_INTERVAL_US,
+                     TICK_INTERVAL_US, on_tick, log);
     on_tick(log);
 }
 
@@ -523,14 +529,14 @@
 config_log_handle(void *state, message_t *message)
 {
     config_log_t *log = state;
-    if (message->type == CONFIG_LOG_KEEP) {
-        handle_keep(log, (const config_bytes_message_t *)message);
+    if (message->type == CONFIG_LOG_SAVE_LOCAL) {
+        handle_save_local(log, (const config_bytes_message_t *)message);
         return;
     }
     if (log->failed) {
         if (message->type == CONFIG_LOG_PUT) {
-            config_log_result(log, ((config_put_message_t *)message)->call,
-                              FALSE);
+            config_log_send_result(
+                log, ((config_put_message_t *)message)->call, FALSE);
         }
         return;
     }
@@ -551,5 +557,5 @@
     default:
         return;
     }
-    turn(log);
+    process_ready(log);
 }
--- a/carobloomd/control/config_log_members.c
+++ b/carobloomd/control/config_log_members.c
@@ -9,43 +9,45 @@
 
 enum {
     MS = 1000,
-    FRESH_US = 1500 * MS, /* one that asked longer ago may be gone again */
-    HELLO_HEARD_MAX = 4,
+    HELLO_MAX_AGE_US =
+        1500 * MS, /* one that asked longer ago may be gone again */
+    HELLO_PEERS_MAX = 4,
     /* Hellos, four a second, in which a newcomer is taken in when there is a
-     * place; then one a second is enough, well within FRESH_US. */
-    HELLO_EAGER = 40,
-    HELLO_PATIENT = 4,
+     * place; then one a second is enough, well within HELLO_MAX_AGE_US. */
+    HELLO_FAST_COUNT = 40,
+    HELLO_SLOW_INTERVAL = 4,
 };
 
-/* Some of the others that were heard of, in turn: when the seeds are gone one
- * of them knows who leads. Not all: a hundred instances that are no members
- * and greet each other four times a second are 40,000 messages. */
+/* Some of the others that were heard of, in process_ready: when the seeds are
+ * gone one of them knows who leads. Not all: a hundred instances that are no
+ * members and greet each other four times a second are 40,000 messages. */
 static void
-add_heard(config_log_t *log, GHashTable *names)
+add_peers(config_log_t *log, GHashTable *names)
 {
     GHashTableIter iter;
     gpointer name;
-    guint count = g_hash_table_size(log->heard);
+    guint count = g_hash_table_size(log->peers);
     guint at = 0;
-    g_hash_table_iter_init(&iter, log->heard);
+    g_hash_table_iter_init(&iter, log->peers);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
-        if ((at++ + log->hellos) % MAX(count, 1) < HELLO_HEARD_MAX) {
+        if ((at++ + log->hello_count) % MAX(count, 1) < HELLO_PEERS_MAX) {
             g_hash_table_add(names, name);
         }
     }
 }
 
 void
-members_say_hello(config_log_t *log)
+members_send_hello(config_log_t *log)
 {
     const voter_config_t *config = voter_config(log->core);
     const voter_member_t *self = voter_config_find(config, log->id);
     if (self != NULL && !self->learner && voter_leader(log->core) != 0) {
-        log->hellos = 0;
+        log->hello_count = 0;
         return;
     }
-    log->hellos++;
-    if (log->hellos > HELLO_EAGER && log->hellos % HELLO_PATIENT != 0) {
+    log->hello_count++;
+    if (log->hello_count > HELLO_FAST_COUNT &&
+        log->hello_count % HELLO_SLOW_INTERVAL != 0) {
         return;
     }
     GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
@@ -57,7 +59,7 @@
     for (guint i = 0; i < config->count; i++) {
         g_hash_table_add(names, (gpointer)config->members[i].name);
     }
-    add_heard(log, names);
+    add_peers(log, names);
     g_hash_table_iter_init(&iter, names);
     while (g_hash_table_iter_next(&iter, &name, NULL)) {
         if (strcmp(name, log->self) != 0) {
@@ -68,13 +70,14 @@
 }
 
 static gint64
-silent_for(const config_log_t *log, const voter_member_t *member, gint64 now)
+silence_us(const config_log_t *log, const voter_member_t *member, gint64 now)
 {
-    const voter_peer_t *c = g_hash_table_lookup(log->heard, member->name);
+    const voter_peer_t *peer = g_hash_table_lookup(log->peers, member->name);
     if (member->id == log->id) {
         return 0;
     }
-    return c != NULL && c->id == member->id ? now - c->heard_us : G_MAXINT64;
+    return peer != NULL && peer->id == member->id ? now - peer->received_us
+                                                  : G_MAXINT64;
 }
 
 static void
@@ -83,7 +86,7 @@
     const voter_config_t config = *voter_config(log->core);
     gint64 silent_us[VOTER_MEMBERS_MAX];
     for (guint i = 0; i < config.count; i++) {
-        silent_us[i] = silent_for(log, &config.members[i], now);
+        silent_us[i] = silence_us(log, &config.members[i], now);
     }
     guint64 dead = voter_repair_remove_dead(log->core, silent_us, now);
     const voter_member_t *member = voter_config_find(&config, dead);
@@ -95,24 +98,25 @@
 }
 
 static void
-take_in(config_log_t *log, gint64 now)
+admit_peer(config_log_t *log, gint64 now)
 {
     GHashTableIter iter;
     gpointer value;
-    g_hash_table_iter_init(&iter, log->heard);
+    g_hash_table_iter_init(&iter, log->peers);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        voter_peer_t *c = value;
-        if (!c->asks || now - c->heard_us > FRESH_US) {
+        voter_peer_t *peer = value;
+        if (!peer->wants_membership ||
+            now - peer->received_us > HELLO_MAX_AGE_US) {
             continue;
         }
         repair_state_t state =
-            voter_repair_step(log->core, c->name, c->id, now);
+            voter_repair_step(log->core, peer->name, peer->id, now);
         if (state == REPAIR_DONE) {
-            c->asks = FALSE;
+            peer->wants_membership = FALSE;
         }
         if (state == REPAIR_PROPOSED) {
             if (event_log_begin(EVENT_STATE, "voter_taken_in")) {
-                event_log_cstr("name", c->name);
+                event_log_cstr("name", peer->name);
                 event_log_end();
             }
             return;
@@ -128,19 +132,19 @@
         counter_add(counter_get("voter_malformed_total", NULL, FALSE), 1);
         return;
     }
-    voter_peer_t *c = g_hash_table_lookup(log->heard, envelope.from);
-    if (c == NULL) {
-        c = g_new0(voter_peer_t, 1);
-        c->name = g_strdup(envelope.from);
-        g_hash_table_insert(log->heard, c->name, c);
+    voter_peer_t *peer = g_hash_table_lookup(log->peers, envelope.from);
+    if (peer == NULL) {
+        peer = g_new0(voter_peer_t, 1);
+        peer->name = g_strdup(envelope.from);
+        g_hash_table_insert(log->peers, peer->name, peer);
     }
-    c->id = envelope.id;
-    c->heard_us = clock_boot_us();
+    peer->id = envelope.id;
+    peer->received_us = clock_boot_us();
     gsize length = g_bytes_get_size(envelope.message);
     voter_message_t *message =
         length > 0 ? voter_message_read(envelope.message) : NULL;
     if (length == 0) {
-        c->asks = TRUE;
+        peer->wants_membership = TRUE;
     }
     if (message != NULL) {
         voter_step(log->core, message, clock_boot_us());
@@ -152,6 +156,6 @@
 void
 members_repair(config_log_t *log, gint64 now_us)
 {
-    take_in(log, now_us);
+    admit_peer(log, now_us);
     remove_dead(log, now_us);
 }
--- a/carobloomd/control/config_log_messages.c
+++ b/carobloomd/control/config_log_messages.c
@@ -53,7 +53,7 @@
 }
 
 static void
-kept_free(message_t *message)
+bytes_free(message_t *message)
 {
     g_bytes_unref(((config_bytes_message_t *)message)->bytes);
     g_free(message);
@@ -63,7 +63,7 @@
 config_bytes_message(config_log_message_t type, GBytes *bytes)
 {
     config_bytes_message_t *m = g_new0(config_bytes_message_t, 1);
-    *m = (config_bytes_message_t){.base = {(int)type, kept_free},
+    *m = (config_bytes_message_t){.base = {(int)type, bytes_free},
                                   .bytes = bytes};
     return &m->base;
 }
@@ -87,7 +87,7 @@
 }
 
 void
-config_log_result(config_log_t *log, guint64 call, gboolean durable)
+config_log_send_result(config_log_t *log, guint64 call, gboolean durable)
 {
     config_result_message_t *m = g_new0(config_result_message_t, 1);
     *m = (config_result_message_t){
@@ -98,7 +98,7 @@
 }
 
 void
-config_log_tell(config_log_t *log)
+config_log_publish_config(config_log_t *log)
 {
     if (log->state.text == NULL) {
         return;
@@ -111,7 +111,7 @@
 }
 
 void
-config_log_tell_usage(config_log_t *log)
+config_log_publish_usage(config_log_t *log)
 {
     GBytes *ledger = usage_ledger_write(log->state.usage);
     task_send(log->owner, config_bytes_message(CONFIG_LOG_USAGE, ledger));
--- a/carobloomd/control/config_log_state.h
+++ b/carobloomd/control/config_log_state.h
@@ -17,14 +17,15 @@
     guint64 call;
     guint64 version;
     gint64 until_us;
-} owed_t;
+} pending_commit_t;
 
 /* Another control instance, by what it sent. */
 typedef struct {
     char *name;
     guint64 id;
-    gint64 heard_us;
-    gboolean asks; /* it is not a voting member by its own account */
+    gint64 received_us;
+    gboolean
+        wants_membership; /* it is not a voting member by its own account */
 } voter_peer_t;
 
 struct config_log {
@@ -36,13 +37,14 @@
     guint64 id;
     voter_t *core;
     log_state_t state; /* applied */
-    GArray *owed;      /* owed_t */
-    GHashTable *heard; /* name -> voter_peer_t */
+    GArray *pending;   /* pending_commit_t */
+    GHashTable *peers; /* name -> voter_peer_t */
     GPtrArray *seeds;  /* names */
-    gint64 hello_us;
-    guint hellos; /* since it was last a member that knew its leader */
+    gint64 last_hello_us;
+    guint hello_count; /* since it was last a member that knew its leader */
     voter_role_t role;
-    gboolean founds; /* it started with an empty disk, the site being new */
+    gboolean
+        is_founder;  /* it started with an empty disk, the site being new */
     gboolean failed; /* the disk refused; started anew from it later */
     gint64 retry_us;
     config_view_message_t view; /* last sent */
@@ -52,16 +54,16 @@
 void message_free_plain(message_t *message);
 /* Sends to another voter; `message` may be NULL, to say who this is. */
 void config_log_send(config_log_t *log, const char *to, GBytes *message);
-void config_log_result(config_log_t *log, guint64 call, gboolean durable);
+void config_log_send_result(config_log_t *log, guint64 call, gboolean durable);
 /* Tells the owner of the version committed here, if there is one. */
-void config_log_tell(config_log_t *log);
+void config_log_publish_config(config_log_t *log);
 /* Tells it of the usage windows that are fixed. */
-void config_log_tell_usage(config_log_t *log);
+void config_log_publish_usage(config_log_t *log);
 
 /* config_log_members.c */
 /* Whoever is not a voting member, or hears of no leader and may have been
  * taken out, says so to all that may lead. */
-void members_say_hello(config_log_t *log);
+void members_send_hello(config_log_t *log);
 /* The leader's part, now and then. */
 void members_repair(config_log_t *log, gint64 now_us);
 /* Passes what another voter sent to the core. */
--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -14,17 +14,17 @@
 
 enum {
     MS = 1000,
-    EXPIRE_US = 200 * MS,
+    EXPIRE_INTERVAL_US = 200 * MS,
     /* Texts kept to send the next as a difference: a storm of changes brings
      * three a second, and an entry instance asks at least once a second. */
-    TEXTS_KEPT = 16,
+    TEXTS_MAX = 16,
     MAILBOX_BOUND = 10000,
     /* Between two messages to each other control instance about requests under
      * way, half of what entry instances wait: with eight others 160 a second
      * of some 0.05 ms each way. */
-    SUMS_US = 50 * MS,
+    SUMS_INTERVAL_US = 50 * MS,
     /* For another leader to be elected before this instance ends. */
-    HANDOVER_US = 1500 * MS,
+    HANDOVER_TIMEOUT_US = 1500 * MS,
 };
 
 static const http_limits_t CONTROL_LIMITS = {
@@ -57,7 +57,7 @@
     return g_bytes_new_static(body.data, body.length);
 }
 
-const kept_text_t *
+const committed_config_t *
 control_newest(const control_t *c)
 {
     return c->texts.tail != NULL ? c->texts.tail->data : NULL;
@@ -66,14 +66,14 @@
 guint64
 control_newest_version(const control_t *c)
 {
-    const kept_text_t *text = control_newest(c);
+    const committed_config_t *text = control_newest(c);
     return text != NULL ? text->version : 0;
 }
 
 route_config_t *
 control_read_newest(const control_t *c)
 {
-    const kept_text_t *newest = control_newest(c);
+    const committed_config_t *newest = control_newest(c);
     route_config_t *config = NULL;
     char *fault = NULL;
     if (newest == NULL ||
@@ -97,9 +97,9 @@
 }
 
 static void
-kept_text_free(gpointer data)
+committed_config_free(gpointer data)
 {
-    g_bytes_unref(((kept_text_t *)data)->text);
+    g_bytes_unref(((committed_config_t *)data)->text);
     g_free(data);
 }
 
@@ -108,13 +108,13 @@
 {
     control_t *c = data;
     if (c->view.in_quorum) {
-        c->quorum_us = control_now(c);
+        c->last_quorum_us = control_now(c);
     }
     load_sums_expire(c);
-    crash_reports_judge(c);
+    crash_reports_tick(c);
     limits_expire(c);
     if (registry_expire(c->registry, control_now(c))) {
-        spread_news(c);
+        control_publish_updates(c);
     }
     counter_set(counter_get("endpoints", NULL, TRUE),
                 registry_count(c->registry));
@@ -175,14 +175,14 @@
 outer_gone(http_exchange_t *exchange, void *user)
 {
     (void)user;
-    operator_gone(exchange);
+    operator_disconnected(exchange);
 }
 
 static void
 inner_gone(http_exchange_t *exchange, void *user)
 {
     (void)user;
-    entry_gone(exchange);
+    entry_disconnected(exchange);
 }
 
 static void
@@ -205,17 +205,18 @@
     if (control_newest(c) != NULL && m->version <= control_newest_version(c)) {
         return;
     }
-    kept_text_t *text = g_new0(kept_text_t, 1);
-    *text = (kept_text_t){.version = m->version, .text = g_bytes_ref(m->text)};
+    committed_config_t *text = g_new0(committed_config_t, 1);
+    *text = (committed_config_t){.version = m->version,
+                                 .text = g_bytes_ref(m->text)};
     g_queue_push_tail(&c->texts, text);
-    while (c->texts.length > TEXTS_KEPT) {
-        kept_text_free(g_queue_pop_head(&c->texts));
+    while (c->texts.length > TEXTS_MAX) {
+        committed_config_free(g_queue_pop_head(&c->texts));
     }
     if (event_log_begin(EVENT_STATE, "config_committed")) {
         event_log_number("version", (gint64)m->version);
         event_log_end();
     }
-    spread_config(c);
+    control_publish_config(c);
 }
 
 static gboolean
@@ -240,18 +241,18 @@
     gboolean may_read_now =
         c->view.read_until_us == 0 && view->read_until_us != 0;
     if (!same_members(&view->voters, &c->view.voters)) {
-        answers_forget(c); /* they name the control instances */
-        load_sums_forget(c);
+        cached_answers_clear(c); /* they name the control instances */
+        load_sums_reset(c);
     }
     c->view = *view;
     if (view->in_quorum) {
-        c->quorum_us = control_now(c);
+        c->last_quorum_us = control_now(c);
     }
     if (c->duties != NULL) {
-        duties_take_view(c->duties);
+        duties_apply_view(c->duties);
     }
     if (may_read_now) { /* entry instances may wait for the confirmation */
-        held_answer_all(c);
+        pending_syncs_answer_all(c);
     }
 }
 
@@ -260,23 +261,23 @@
 {
     switch ((config_log_message_t)message->type) {
     case CONFIG_LOG_SEND:
-        handle_send(c, (const config_envelope_message_t *)message);
+        handle_log_send(c, (const config_envelope_message_t *)message);
         break;
     case CONFIG_LOG_RESULT:
-        handle_result(c, (const config_result_message_t *)message);
+        handle_put_result(c, (const config_result_message_t *)message);
         break;
     case CONFIG_LOG_APPLIED:
         handle_applied(c, (const config_applied_message_t *)message);
         break;
-    case CONFIG_LOG_KEPT:
-        handle_kept(c, (const config_bytes_message_t *)message);
+    case CONFIG_LOG_LOCAL_STATE:
+        handle_saved_orders(c, (const config_bytes_message_t *)message);
         break;
     case CONFIG_LOG_VIEW:
         handle_view(c, (const config_view_message_t *)message);
         break;
     case CONFIG_LOG_USAGE:
         if (c->duties != NULL) {
-            duties_take_ledger(
+            duties_apply_ledger(
                 c->duties, ((const config_bytes_message_t *)message)->bytes);
         }
         break;
@@ -350,16 +351,20 @@
     c->own_loads = load_sum_create();
     c->loads = load_sum_create();
     c->sums_sequence = c->epoch; /* not one of a start before */
-    c->told_sums = load_sums_table();
+    c->peer_load_deltas = load_deltas_create();
     c->own_parts = part_feed_create();
     c->parts = part_feed_create();
     c->peers = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, peer_free);
     c->entries =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    c->puts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-    c->services = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    timers_subscribe(c->timers, EXPIRE_US, EXPIRE_US, on_expire, c);
-    timers_subscribe(c->timers, SUMS_US, SUMS_US, load_sums_spread, c);
+    c->pending_puts =
+        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
+    c->known_services =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    timers_subscribe(c->timers, EXPIRE_INTERVAL_US, EXPIRE_INTERVAL_US,
+                     on_expire, c);
+    timers_subscribe(c->timers, SUMS_INTERVAL_US, SUMS_INTERVAL_US,
+                     load_sums_send, c);
     if (!control_start(c)) {
         control_destroy(c);
         return NULL;
@@ -377,26 +382,26 @@
     }
     g_clear_pointer(&c->log, config_log_destroy);
     g_clear_pointer(&c->duties, duties_destroy);
-    held_drop_all(c);
-    timers_cancel(c->timers, c->spread);
-    timers_cancel(c->timers, c->commits);
-    answers_forget(c);
+    pending_syncs_drop_all(c);
+    timers_cancel(c->timers, c->publish_timer);
+    timers_cancel(c->timers, c->config_timer);
+    cached_answers_clear(c);
     g_clear_pointer(&c->server, http_server_destroy);
     g_clear_pointer(&c->inner, http_server_destroy);
     g_hash_table_unref(c->peers);
     g_hash_table_unref(c->entries);
-    g_hash_table_unref(c->puts);
-    g_hash_table_unref(c->services);
-    for (guint i = 0; i < CONTROL_DELTAS; i++) {
+    g_hash_table_unref(c->pending_puts);
+    g_hash_table_unref(c->known_services);
+    for (guint i = 0; i < CONTROL_CACHED_DELTAS_MAX; i++) {
         g_clear_pointer(&c->deltas[i].bytes, g_bytes_unref);
     }
-    g_queue_clear_full(&c->texts, kept_text_free);
+    g_queue_clear_full(&c->texts, committed_config_free);
     registry_destroy(c->registry);
     crash_ledger_destroy(c->crashes);
     limit_quota_destroy(c->limits);
     load_sum_destroy(c->own_loads);
     load_sum_destroy(c->loads);
-    g_hash_table_unref(c->told_sums);
+    g_hash_table_unref(c->peer_load_deltas);
     g_clear_pointer(&c->sorted_loads, g_array_unref);
     part_feed_destroy(c->own_parts);
     part_feed_destroy(c->parts);
@@ -409,10 +414,10 @@
 control_drain(control_t *c)
 {
     c->draining = TRUE;
-    c->drained_us = control_now(c) + HANDOVER_US;
+    c->drained_us = control_now(c) + HANDOVER_TIMEOUT_US;
     http_server_drain(c->server);
     http_server_drain(c->inner);
-    held_answer_all(c);
+    pending_syncs_answer_all(c);
     task_send(c->log_task, config_hand_over_message());
 }
 
@@ -435,7 +440,7 @@
         "requests held back %u, suspect %u, endpoints that ended %u\n",
         c->self, c->view.leader, c->view.leads, c->view.term,
         control_newest_version(c), registry_count(c->registry),
-        c->fresh_entries, load_sum_reporters(c->own_loads),
+        c->active_entries, load_sum_reporters(c->own_loads),
         crash_ledger_quarantined(c->crashes),
         crash_ledger_suspects(c->crashes), crash_ledger_ends(c->crashes));
     if (c->duties != NULL) {
--- a/carobloomd/control/crash_reports.c
+++ b/carobloomd/control/crash_reports.c
@@ -10,21 +10,21 @@
     MS = 1000,
     /* Between two writes of what is held: two syncs of the disk each, of 5 ms,
      * in the task that waits for it. */
-    KEEP_US = 1000 * MS,
+    SAVE_INTERVAL_US = 1000 * MS,
     /* Written anew although nothing changed: what is left of the times, and a
      * write that failed. */
-    KEEP_AGAIN_US = 30000 * MS,
+    SAVE_MAX_INTERVAL_US = 30000 * MS,
 };
 
 /* Logs and spreads orders that are new. */
 static void
-publish(control_t *c)
+publish_orders(control_t *c)
 {
-    if (c->told_orders == crash_ledger_cursor(c->crashes)) {
+    if (c->orders_published_cursor == crash_ledger_cursor(c->crashes)) {
         return;
     }
-    GArray *orders = crash_ledger_orders_since(c->crashes, &c->told_orders,
-                                               G_MAXUINT, control_now(c));
+    GArray *orders = crash_ledger_orders_since(
+        c->crashes, &c->orders_published_cursor, G_MAXUINT, control_now(c));
     for (guint i = 0; i < orders->len; i++) {
         const quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
@@ -34,40 +34,41 @@
         quarantine_order_log(order, "");
     }
     g_array_unref(orders);
-    spread_news(c);
+    control_publish_updates(c);
 }
 
 /* Has what is held written to the disk, so that it is known after the loss of
  * all processes. */
 static void
-keep(control_t *c)
+save_orders(control_t *c)
 {
     gint64 now = control_now(c);
-    gint64 since_us = now - c->kept_us;
+    gint64 since_us = now - c->orders_saved_us;
     guint held = crash_ledger_quarantined(c->crashes);
-    gboolean changed = c->kept_orders != crash_ledger_cursor(c->crashes);
-    if (since_us < KEEP_US ||
-        (!changed && (held == 0 || since_us < KEEP_AGAIN_US))) {
+    gboolean changed =
+        c->orders_saved_cursor != crash_ledger_cursor(c->crashes);
+    if (since_us < SAVE_INTERVAL_US ||
+        (!changed && (held == 0 || since_us < SAVE_MAX_INTERVAL_US))) {
         return;
     }
     guint64 cursor = 0;
     GArray *orders = crash_ledger_orders_since(c->crashes, &cursor,
                                                QUARANTINE_ORDERS_MAX, now);
-    c->kept_us = now;
-    c->kept_orders = crash_ledger_cursor(c->crashes);
+    c->orders_saved_us = now;
+    c->orders_saved_cursor = crash_ledger_cursor(c->crashes);
     task_send(c->log_task,
               config_bytes_message(
-                  CONFIG_LOG_KEEP,
+                  CONFIG_LOG_SAVE_LOCAL,
                   quarantine_file_write(orders, g_get_real_time())));
     g_array_unref(orders);
 }
 
 void
-crash_reports_judge(control_t *c)
+crash_reports_tick(control_t *c)
 {
     crash_ledger_evaluate(c->crashes, control_now(c));
-    publish(c);
-    keep(c);
+    publish_orders(c);
+    save_orders(c);
     counter_set(counter_get("requests_held", NULL, TRUE),
                 crash_ledger_quarantined(c->crashes));
     counter_set(counter_get("requests_suspect", NULL, TRUE),
@@ -80,9 +81,9 @@
     GBytes *bytes = posted_bytes(exchange);
     crash_report_t report;
     gint64 now = control_now(c);
-    gboolean sound = crash_report_read(bytes, &report);
+    gboolean valid = crash_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         counter_add(counter_get("crash_reports_refused_total", NULL, FALSE),
                     1);
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
@@ -102,7 +103,7 @@
 }
 
 void
-handle_kept(control_t *c, const config_bytes_message_t *m)
+handle_saved_orders(control_t *c, const config_bytes_message_t *m)
 {
     GArray *orders = quarantine_file_read(m->bytes, g_get_real_time());
     if (orders == NULL) {
@@ -117,5 +118,5 @@
                              control_now(c));
     }
     g_array_unref(orders);
-    publish(c);
+    publish_orders(c);
 }
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -71,7 +71,7 @@
 }
 
 void
-duties_take_view(duties_t *d)
+duties_apply_view(duties_t *d)
 {
     const config_view_message_t *view = &d->control->view;
     if (!d->began && (view->term > 0 || view->first_start)) {
@@ -142,8 +142,8 @@
         .wall_us = duties_wall_us(d),
         .fixed_through =
             d->usage != NULL ? usage_duty_fixed_through(d->usage) : 0,
-        .ask_ms =
-            MAX(ASK_LEAST_MS, entries_fresh(d->control) * ASK_MS_AN_ENTRY),
+        .ask_ms = MAX(ASK_LEAST_MS,
+                      active_entries_count(d->control) * ASK_MS_AN_ENTRY),
     };
     GBytes *bytes = usage_answer_write(&answer);
     http_exchange_answer(exchange, 200, STR(""), str_from_bytes(bytes));
@@ -287,7 +287,7 @@
 }
 
 void
-duties_take_ledger(duties_t *d, GBytes *bytes)
+duties_apply_ledger(duties_t *d, GBytes *bytes)
 {
     if (d->usage != NULL) {
         usage_duty_take_ledger(d->usage, bytes);
--- a/carobloomd/control/endpoint_leases.c
+++ b/carobloomd/control/endpoint_leases.c
@@ -6,13 +6,14 @@
 /* Without word from a quorum for so long, or from an entry instance, leases
  * are refused, so that the endpoint goes to an instance that can spread them:
  * a change of leaders takes about as long. */
-static const gint64 CUT_US = 1500 * 1000;
+static const gint64 CONTACT_TIMEOUT_US = 1500 * 1000;
 
 /* Whether what is told here reaches those who route. */
 static gboolean
 is_connected(const control_t *c)
 {
-    return control_now(c) - c->quorum_us < CUT_US && entries_ask(c);
+    return control_now(c) - c->last_quorum_us < CONTACT_TIMEOUT_US &&
+           has_active_entries(c);
 }
 
 static void
@@ -49,7 +50,7 @@
 
 /* Notes the services of the newest configuration. */
 static void
-learn_services(control_t *c)
+update_known_services(control_t *c)
 {
     c->services_version = control_newest_version(c);
     route_config_t *config = control_read_newest(c);
@@ -58,7 +59,7 @@
     }
     for (guint i = 0; i < config->services->len; i++) {
         const service_t *service = config->services->pdata[i];
-        g_hash_table_add(c->services, g_strdup(service->name));
+        g_hash_table_add(c->known_services, g_strdup(service->name));
     }
     route_config_unref(config);
 }
@@ -67,16 +68,16 @@
  * be named yet. A configuration may have 1,400 routes, and hundreds of them
  * come on a day: it is read only when a name is not known. */
 static gboolean
-is_named(control_t *c, const char *service)
+is_known_service(control_t *c, const char *service)
 {
     if (control_newest(c) == NULL ||
-        g_hash_table_contains(c->services, service)) {
+        g_hash_table_contains(c->known_services, service)) {
         return TRUE;
     }
     if (c->services_version < control_newest_version(c)) {
-        learn_services(c);
+        update_known_services(c);
     }
-    return g_hash_table_contains(c->services, service);
+    return g_hash_table_contains(c->known_services, service);
 }
 
 /* What a renewal is answered. One of an earlier start is not taken. One that
@@ -113,7 +114,7 @@
         answer_plain(exchange, 503, "{\"error\":\"cut off\"}");
         return;
     }
-    if (!is_named(c, heartbeat.service)) {
+    if (!is_known_service(c, heartbeat.service)) {
         heartbeat_clear(&heartbeat);
         refuse(exchange, id, "Service");
         return;
@@ -142,7 +143,7 @@
     heartbeat_clear(&heartbeat);
     answer_heartbeat(c, exchange, result);
     if (registry_cursor(c->registry) != before) {
-        spread_news(c);
+        control_publish_updates(c);
     }
 }
 
@@ -165,5 +166,5 @@
     log_lease(name, NULL, "left");
     g_free(name);
     answer_plain(exchange, 200, "{}");
-    spread_news(c);
+    control_publish_updates(c);
 }
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -12,25 +12,25 @@
 enum {
     MS = 1000,
     /* An entry instance that asked within this time counts as one. */
-    ENTRY_FRESH_US = 3000 * MS,
+    ENTRY_ACTIVE_US = 3000 * MS,
     /* Orders to hold requests back in one answer, some 7 KB of it: thousands
      * go out in batches, at half a second at most between two. */
-    ORDERS_MOST = 128,
-    LIMITS_MOST = 256,    /* the same of limits of endpoints, some 4 KB */
-    WAIT_MOST_MS = 10000, /* that an entry instance may be held for */
+    ORDERS_MAX = 128,
+    LIMITS_MAX = 256,    /* the same of limits of endpoints, some 4 KB */
+    WAIT_MAX_MS = 10000, /* that an entry instance may be held for */
     /* Between two answers to all that are held: each costs 0.1 ms, so 7% of a
      * core at most. Thousands of endpoints that start together are told in
      * tens of such, not one by one. Half a second is a quarter of the bound
      * for an endpoint that drains. */
-    SPREAD_US_AN_ENTRY = 1500,
-    SPREAD_MOST_US = 500 * MS,
+    PUBLISH_US_PER_ENTRY = 1500,
+    PUBLISH_INTERVAL_MAX_US = 500 * MS,
     /* A configuration does not wait for such a batch, only for what is
      * committed with it: a new leader commits all that came before. After all
      * processes were lost, 8 of 16 entry instances, of 347, were told 500 ms
      * later than the first, and refused what came until then. */
-    COMMITS_US = 20 * MS,
+    CONFIG_DELAY_US = 20 * MS,
     /* Between two counts of the entry instances that ask, for each of them. */
-    COUNT_US_AN_ENTRY = 20,
+    COUNT_US_PER_ENTRY = 20,
 };
 
 /* An entry instance's question, held until there is news. */
@@ -38,15 +38,15 @@
     control_t *control;
     http_exchange_t *exchange;
     sync_request_t request;
-    gint64 asked_us; /* clock_boot_us, not the timers' clock: never early */
+    gint64 received_us; /* clock_boot_us, not the timers' clock: never early */
     guint64 timer;
-} held_sync_t;
+} pending_sync_t;
 
-static const kept_text_t *
-text_of(const control_t *c, guint64 version)
+static const committed_config_t *
+config_find(const control_t *c, guint64 version)
 {
     for (GList *l = c->texts.tail; l != NULL; l = l->prev) {
-        if (((kept_text_t *)l->data)->version == version) {
+        if (((committed_config_t *)l->data)->version == version) {
             return l->data;
         }
     }
@@ -56,58 +56,59 @@
 /* The difference from `base` (0: the empty text) to the newest. Many ask for
  * the same one, so the last few are kept. */
 static GBytes *
-config_delta(control_t *c, guint64 base, str_t from, const kept_text_t *now)
+config_delta(control_t *c, guint64 base, str_t from,
+             const committed_config_t *now)
 {
-    kept_delta_t *kept = &c->deltas[base % CONTROL_DELTAS];
-    if (kept->bytes == NULL || kept->base != base ||
-        kept->version != now->version) {
-        g_clear_pointer(&kept->bytes, g_bytes_unref);
-        kept->base = base;
-        kept->version = now->version;
-        kept->bytes = text_delta_between(from, str_from_bytes(now->text));
+    cached_delta_t *cached = &c->deltas[base % CONTROL_CACHED_DELTAS_MAX];
+    if (cached->bytes == NULL || cached->base != base ||
+        cached->version != now->version) {
+        g_clear_pointer(&cached->bytes, g_bytes_unref);
+        cached->base = base;
+        cached->version = now->version;
+        cached->bytes = text_delta_between(from, str_from_bytes(now->text));
     }
-    return g_bytes_ref(kept->bytes);
+    return g_bytes_ref(cached->bytes);
 }
 
 static void
 fill_config(control_t *c, const sync_request_t *request, sync_answer_t *answer)
 {
-    const kept_text_t *now = control_newest(c);
+    const committed_config_t *now = control_newest(c);
     answer->version = control_newest_version(c);
     if (now == NULL || !request->takes_config ||
         answer->version <= request->version) {
         return;
     }
-    const kept_text_t *base = text_of(c, request->version);
+    const committed_config_t *base = config_find(c, request->version);
     str_t from = base != NULL ? str_from_bytes(base->text) : STR("");
     answer->base = base != NULL ? base->version : 0;
     answer->delta = config_delta(c, answer->base, from, now);
 }
 
 guint
-entries_fresh(control_t *c)
+active_entries_count(control_t *c)
 {
     GHashTableIter iter;
     gpointer value;
     gint64 now = control_now(c);
     gint64 pause_us =
-        g_hash_table_size(c->entries) * (gint64)COUNT_US_AN_ENTRY;
-    if (c->counted_us != 0 && now - c->counted_us < pause_us) {
-        return c->fresh_entries;
+        g_hash_table_size(c->entries) * (gint64)COUNT_US_PER_ENTRY;
+    if (c->entries_counted_us != 0 && now - c->entries_counted_us < pause_us) {
+        return c->active_entries;
     }
-    c->counted_us = now;
-    c->fresh_entries = 0;
+    c->entries_counted_us = now;
+    c->active_entries = 0;
     g_hash_table_iter_init(&iter, c->entries);
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
-        c->fresh_entries += now - *(gint64 *)value < ENTRY_FRESH_US;
+        c->active_entries += now - *(gint64 *)value < ENTRY_ACTIVE_US;
     }
-    return c->fresh_entries;
+    return c->active_entries;
 }
 
 void
-answers_forget(control_t *c)
+cached_answers_clear(control_t *c)
 {
-    for (guint i = 0; i < CONTROL_ANSWERS; i++) {
+    for (guint i = 0; i < CONTROL_CACHED_ANSWERS_MAX; i++) {
         g_clear_pointer(&c->answers[i].bytes, g_bytes_unref);
     }
 }
@@ -118,14 +119,14 @@
     gboolean full = request->epoch != c->epoch;
     return (answer_key_t){
         .since = full ? 0 : request->cursor,
-        .published = c->published,
-        .held_since = full ? 0 : request->held_cursor,
-        .held = crash_ledger_cursor(c->crashes),
+        .published = c->published_cursor,
+        .orders_since = full ? 0 : request->held_cursor,
+        .orders = crash_ledger_cursor(c->crashes),
         .limits_since = full ? 0 : request->limit_cursor,
         .limits = limit_quota_cursor(c->limits),
-        .asked_version = request->version,
+        .request_version = request->version,
         .version = control_newest_version(c),
-        .entries = collector_entries_rounded(entries_fresh(c)),
+        .entries = collector_entries_rounded(active_entries_count(c)),
         .takes_config = (guint32)request->takes_config,
         .full = (guint32)full,
         .confirmed = (guint32)control_may_read(c),
@@ -135,7 +136,7 @@
 /* Which entry instance tries a held request: the same whichever control
  * instance orders it, as far as the same entry instances ask there. */
 static char *
-trial_instance(const control_t *c, guint64 fingerprint)
+probe_instance(const control_t *c, guint64 fingerprint)
 {
     GHashTableIter iter;
     gpointer name;
@@ -145,7 +146,7 @@
     g_hash_table_iter_init(&iter, c->entries);
     while (g_hash_table_iter_next(&iter, &name, &asked_us)) {
         guint64 rank = hash_pair(fingerprint, hash_text(str_from_cstr(name)));
-        if (control_now(c) - *(gint64 *)asked_us < ENTRY_FRESH_US &&
+        if (control_now(c) - *(gint64 *)asked_us < ENTRY_ACTIVE_US &&
             (best == NULL || rank > best_rank)) {
             best = name;
             best_rank = rank;
@@ -155,13 +156,13 @@
 }
 
 static void
-choose_trials(const control_t *c, GArray *orders)
+assign_probes(const control_t *c, GArray *orders)
 {
     for (guint i = 0; i < orders->len; i++) {
         quarantine_order_t *order =
             &g_array_index(orders, quarantine_order_t, i);
         if (order->probe != 0) {
-            order->probe_instance = trial_instance(c, order->fingerprint);
+            order->probe_instance = probe_instance(c, order->fingerprint);
         }
     }
 }
@@ -176,11 +177,11 @@
     gboolean more = through < registry_cursor(c->registry);
     sync_answer_t answer = {
         .epoch = c->epoch,
-        .cursor = more ? through : c->published,
+        .cursor = more ? through : c->published_cursor,
         .full = full,
         .more = more,
         .confirmed = control_may_read(c),
-        .entries = collector_entries_rounded(entries_fresh(c)),
+        .entries = collector_entries_rounded(active_entries_count(c)),
         .leases = leases,
         .controls = g_ptr_array_new(),
         .data_centre = g_strdup(c->settings->data_centre),
@@ -192,11 +193,11 @@
     fill_config(c, request, &answer);
     answer.held_cursor = full ? 0 : request->held_cursor;
     answer.held = crash_ledger_orders_since(c->crashes, &answer.held_cursor,
-                                            ORDERS_MOST, control_now(c));
-    choose_trials(c, answer.held);
+                                            ORDERS_MAX, control_now(c));
+    assign_probes(c, answer.held);
     answer.limit_cursor = full ? 0 : request->limit_cursor;
-    answer.limits = limit_quota_changes_since(c->limits, &answer.limit_cursor,
-                                              LIMITS_MOST);
+    answer.limits =
+        limit_quota_changes_since(c->limits, &answer.limit_cursor, LIMITS_MAX);
     GBytes *bytes = sync_answer_write(&answer);
     sync_answer_clear(&answer);
     counter_add(counter_get("entry_answers_written_total", NULL, FALSE), 1);
@@ -208,38 +209,40 @@
  * instance of 0.15 cores busy for 30 s; meanwhile endpoints get no answer in
  * time and turn to the next instance, which makes the list longer. */
 static GBytes *
-sync_news(control_t *c, const sync_request_t *request)
+sync_answer_bytes(control_t *c, const sync_request_t *request)
 {
     counter_add(counter_get("entry_answers_total", NULL, FALSE), 1);
     answer_key_t key = answer_key(c, request);
-    for (guint i = 0; i < CONTROL_ANSWERS; i++) {
-        const kept_answer_t *kept = &c->answers[i];
-        if (kept->bytes != NULL &&
-            memcmp(&kept->key, &key, sizeof(key)) == 0) {
-            return g_bytes_ref(kept->bytes);
+    for (guint i = 0; i < CONTROL_CACHED_ANSWERS_MAX; i++) {
+        const cached_answer_t *cached = &c->answers[i];
+        if (cached->bytes != NULL &&
+            memcmp(&cached->key, &key, sizeof(key)) == 0) {
+            return g_bytes_ref(cached->bytes);
         }
     }
-    kept_answer_t *kept = &c->answers[c->next_answer++ % CONTROL_ANSWERS];
-    g_clear_pointer(&kept->bytes, g_bytes_unref);
-    kept->key = key;
-    kept->bytes = sync_build(c, request);
-    return g_bytes_ref(kept->bytes);
+    cached_answer_t *cached =
+        &c->answers[c->next_cached_answer++ % CONTROL_CACHED_ANSWERS_MAX];
+    g_clear_pointer(&cached->bytes, g_bytes_unref);
+    cached->key = key;
+    cached->bytes = sync_build(c, request);
+    return g_bytes_ref(cached->bytes);
 }
 
 static gboolean
-has_config_news(const control_t *c, const sync_request_t *request)
+has_config_update(const control_t *c, const sync_request_t *request)
 {
     return request->takes_config &&
            request->version < control_newest_version(c);
 }
 
 static gboolean
-has_news(const control_t *c, const sync_request_t *request)
+has_updates(const control_t *c, const sync_request_t *request)
 {
-    return request->epoch != c->epoch || request->cursor != c->published ||
+    return request->epoch != c->epoch ||
+           request->cursor != c->published_cursor ||
            request->held_cursor != crash_ledger_cursor(c->crashes) ||
            request->limit_cursor != limit_quota_cursor(c->limits) ||
-           has_config_news(c, request);
+           has_config_update(c, request);
 }
 
 /* `held_us` is for how long the question waited. */
@@ -248,7 +251,7 @@
             const sync_request_t *request, gint64 held_us)
 {
     char fields[64];
-    GBytes *bytes = sync_news(c, request);
+    GBytes *bytes = sync_answer_bytes(c, request);
     g_snprintf(fields, sizeof(fields), HELD_FIELD ": %d\r\n",
                (int)(held_us / MS));
     http_exchange_answer(exchange, 200, str_from_cstr(fields),
@@ -257,102 +260,103 @@
 }
 
 static void
-held_free(held_sync_t *held)
+pending_sync_free(pending_sync_t *pending)
 {
-    control_t *c = held->control;
-    timers_cancel(c->timers, held->timer);
-    c->held = g_list_remove(c->held, held);
-    sync_request_clear(&held->request);
-    g_free(held);
+    control_t *c = pending->control;
+    timers_cancel(c->timers, pending->timer);
+    c->pending_syncs = g_list_remove(c->pending_syncs, pending);
+    sync_request_clear(&pending->request);
+    g_free(pending);
 }
 
 static void
-held_answer(held_sync_t *held)
+pending_sync_answer(pending_sync_t *pending)
 {
-    control_t *c = held->control;
-    http_exchange_set_data(held->exchange, NULL);
-    sync_answer(c, held->exchange, &held->request,
-                clock_boot_us() - held->asked_us);
-    held_free(held);
+    control_t *c = pending->control;
+    http_exchange_set_data(pending->exchange, NULL);
+    sync_answer(c, pending->exchange, &pending->request,
+                clock_boot_us() - pending->received_us);
+    pending_sync_free(pending);
 }
 
 static void
-held_expired(void *data)
+pending_sync_expired(void *data)
 {
-    held_sync_t *held = data;
-    held->timer = 0;
-    held_answer(held);
+    pending_sync_t *pending = data;
+    pending->timer = 0;
+    pending_sync_answer(pending);
 }
 
 static void
-spread_now(control_t *c)
+publish_now(control_t *c)
 {
     GList *next;
-    c->spread_us = control_now(c);
-    c->published = registry_cursor(c->registry);
-    for (GList *l = c->held; l != NULL; l = next) {
-        held_sync_t *held = l->data;
+    c->published_us = control_now(c);
+    c->published_cursor = registry_cursor(c->registry);
+    for (GList *l = c->pending_syncs; l != NULL; l = next) {
+        pending_sync_t *pending = l->data;
         next = l->next;
-        if (has_news(c, &held->request)) {
-            held_answer(held);
+        if (has_updates(c, &pending->request)) {
+            pending_sync_answer(pending);
         }
     }
 }
 
 static void
-spread_due(void *data)
+publish_due(void *data)
 {
     control_t *c = data;
-    c->spread = 0;
-    spread_now(c);
+    c->publish_timer = 0;
+    publish_now(c);
 }
 
 /* Until news may go out again; 0 or less: now. */
 static gint64
-spread_pause(control_t *c)
+publish_delay(control_t *c)
 {
-    gint64 pause = entries_fresh(c) * (gint64)SPREAD_US_AN_ENTRY;
-    return c->spread_us + MIN(pause, SPREAD_MOST_US) - control_now(c);
+    gint64 pause = active_entries_count(c) * (gint64)PUBLISH_US_PER_ENTRY;
+    return c->published_us + MIN(pause, PUBLISH_INTERVAL_MAX_US) -
+           control_now(c);
 }
 
 void
-spread_news(control_t *c)
+control_publish_updates(control_t *c)
 {
-    gint64 left = spread_pause(c);
-    if (c->spread != 0) {
+    gint64 left = publish_delay(c);
+    if (c->publish_timer != 0) {
         return;
     }
     if (left <= 0) {
-        spread_now(c);
+        publish_now(c);
         return;
     }
-    c->spread = timers_subscribe(c->timers, left, 0, spread_due, c);
+    c->publish_timer = timers_subscribe(c->timers, left, 0, publish_due, c);
 }
 
 static void
-commits_due(void *data)
+config_due(void *data)
 {
     control_t *c = data;
-    c->commits = 0;
-    spread_now(c);
+    c->config_timer = 0;
+    publish_now(c);
 }
 
 void
-spread_config(control_t *c)
+control_publish_config(control_t *c)
 {
-    if (c->commits == 0) {
-        c->commits =
-            timers_subscribe(c->timers, COMMITS_US, 0, commits_due, c);
+    if (c->config_timer == 0) {
+        c->config_timer =
+            timers_subscribe(c->timers, CONFIG_DELAY_US, 0, config_due, c);
     }
 }
 
 static void
-note_entry(control_t *c, const char *instance)
+record_entry(control_t *c, const char *instance)
 {
     gint64 now = control_now(c);
     g_hash_table_replace(c->entries, g_strdup(instance),
                          g_memdup2(&now, sizeof(now)));
-    c->asked_us = now;
+    c->last_sync_us = now;
 }
 
 void
@@ -360,69 +364,69 @@
 {
     GBytes *bytes = posted_bytes(exchange);
     sync_request_t request;
-    gboolean sound = sync_request_read(bytes, &request);
+    gboolean valid = sync_request_read(bytes, &request);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    note_entry(c, request.instance);
-    gboolean news = has_news(c, &request);
+    record_entry(c, request.instance);
+    gboolean updated = has_updates(c, &request);
     /* While endpoints come and go all the time there is always news: one that
      * was just answered waits for the next batch like the others. */
-    gboolean batched = news && !request.rest && request.epoch == c->epoch &&
-                       !has_config_news(c, &request) && spread_pause(c) > 0;
-    if ((news && !batched) || request.wait_ms == 0 || c->draining) {
+    gboolean batched = updated && !request.rest && request.epoch == c->epoch &&
+                       !has_config_update(c, &request) && publish_delay(c) > 0;
+    if ((updated && !batched) || request.wait_ms == 0 || c->draining) {
         sync_answer(c, exchange, &request, 0);
         sync_request_clear(&request);
         return;
     }
-    held_sync_t *held = g_new0(held_sync_t, 1);
-    *held = (held_sync_t){.control = c,
-                          .exchange = exchange,
-                          .request = request,
-                          .asked_us = clock_boot_us()};
-    held->timer = timers_subscribe(
-        c->timers, MIN(request.wait_ms, WAIT_MOST_MS) * (gint64)MS, 0,
-        held_expired, held);
-    c->held = g_list_prepend(c->held, held);
-    http_exchange_set_data(exchange, held);
+    pending_sync_t *pending = g_new0(pending_sync_t, 1);
+    *pending = (pending_sync_t){.control = c,
+                                .exchange = exchange,
+                                .request = request,
+                                .received_us = clock_boot_us()};
+    pending->timer = timers_subscribe(
+        c->timers, MIN(request.wait_ms, WAIT_MAX_MS) * (gint64)MS, 0,
+        pending_sync_expired, pending);
+    c->pending_syncs = g_list_prepend(c->pending_syncs, pending);
+    http_exchange_set_data(exchange, pending);
     if (batched) {
-        spread_news(c);
+        control_publish_updates(c);
     }
 }
 
 void
-held_answer_all(control_t *c)
+pending_syncs_answer_all(control_t *c)
 {
     GList *next;
-    for (GList *l = c->held; l != NULL; l = next) {
+    for (GList *l = c->pending_syncs; l != NULL; l = next) {
         next = l->next;
-        held_answer(l->data);
+        pending_sync_answer(l->data);
     }
 }
 
 void
-held_drop_all(control_t *c)
+pending_syncs_drop_all(control_t *c)
 {
     GList *next;
-    for (GList *l = c->held; l != NULL; l = next) {
+    for (GList *l = c->pending_syncs; l != NULL; l = next) {
         next = l->next;
-        held_free(l->data);
+        pending_sync_free(l->data);
     }
 }
 
 void
-entry_gone(http_exchange_t *exchange)
+entry_disconnected(http_exchange_t *exchange)
 {
-    held_sync_t *held = http_exchange_data(exchange);
-    if (held != NULL) {
-        held_free(held);
+    pending_sync_t *pending = http_exchange_data(exchange);
+    if (pending != NULL) {
+        pending_sync_free(pending);
     }
 }
 
 gboolean
-entries_ask(const control_t *c)
+has_active_entries(const control_t *c)
 {
-    return control_now(c) - c->asked_us < ENTRY_FRESH_US;
+    return control_now(c) - c->last_sync_us < ENTRY_ACTIVE_US;
 }
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -1,5 +1,5 @@
-/* Limits that endpoints name: what entry instances ask for and tell, granted
- * and told to all. */
+/* Limits that endpoints name: what entry instances request for and tell,
+ * granted and told to all. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -9,10 +9,10 @@
 #include "carobloom/policy/rendezvous.h"
 #include "control_state.h"
 
-/* Whether this instance owns the limit of an endpoint, among those that the
- * replicated log names. */
+/* Whether this instance owns_limit the limit of an endpoint, among those that
+ * the replicated log names. */
 static gboolean
-owns(const control_t *c, guint64 endpoint)
+owns_limit(const control_t *c, guint64 endpoint)
 {
     guint64 members[VOTER_MEMBERS_MAX];
     guint count = c->view.voters.count;
@@ -26,13 +26,13 @@
 
 /* Logs and spreads limits that began, changed or were lifted. */
 static void
-publish(control_t *c)
+publish_limits(control_t *c)
 {
-    if (c->told_limits == limit_quota_cursor(c->limits)) {
+    if (c->limits_published_cursor == limit_quota_cursor(c->limits)) {
         return;
     }
-    GArray *states =
-        limit_quota_changes_since(c->limits, &c->told_limits, G_MAXUINT);
+    GArray *states = limit_quota_changes_since(
+        c->limits, &c->limits_published_cursor, G_MAXUINT);
     for (guint i = 0; i < states->len; i++) {
         const limit_state_t *s = &g_array_index(states, limit_state_t, i);
         if (event_log_begin(EVENT_STATE, "limit_told")) {
@@ -42,29 +42,31 @@
             event_log_cstr("endpoint_hash", endpoint);
             event_log_number("limited", s->limited);
             event_log_number("limit_per_1000_s", (gint64)(s->rate * 1000));
-            event_log_number("instances", entries_fresh(c));
+            event_log_number("instances", active_entries_count(c));
             event_log_end();
         }
     }
     g_array_unref(states);
-    spread_news(c);
+    control_publish_updates(c);
 }
 
 static limit_grant_t
-answer_ask(control_t *c, const limit_requester_t *asker,
-           const limit_request_t *ask)
+handle_limit_request(control_t *c, const limit_requester_t *requester,
+                     const limit_request_t *request)
 {
-    if (owns(c, ask->endpoint)) {
-        return limit_quota_request(c->limits, asker, ask, control_now(c));
+    if (owns_limit(c, request->endpoint)) {
+        return limit_quota_request(c->limits, requester, request,
+                                   control_now(c));
     }
-    limit_quota_apply_report(c->limits, ask, control_now(c));
-    counter_add(counter_get(ask->wanted > 0 ? "limit_asks_misdirected_total"
-                                            : "limits_relayed_total",
+    limit_quota_apply_report(c->limits, request, control_now(c));
+    counter_add(counter_get(request->wanted > 0
+                                ? "limit_asks_misdirected_total"
+                                : "limits_relayed_total",
                             NULL, FALSE),
                 1);
-    return (limit_grant_t){.state = {.endpoint = ask->endpoint,
-                                     .limited = ask->limited,
-                                     .rate = ask->rate}};
+    return (limit_grant_t){.state = {.endpoint = request->endpoint,
+                                     .limited = request->limited,
+                                     .rate = request->rate}};
 }
 
 void
@@ -72,9 +74,9 @@
 {
     limit_report_t report;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = limit_report_read(bytes, &report);
+    gboolean valid = limit_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
@@ -83,17 +85,17 @@
         answer_plain(exchange, 503, "{\"error\":\"does not own limits\"}");
         return;
     }
-    limit_requester_t asker = {.name = report.from,
-                               .incarnation = report.incarnation,
-                               .sequence = report.sequence};
+    limit_requester_t requester = {.name = report.from,
+                                   .incarnation = report.incarnation,
+                                   .sequence = report.sequence};
     limit_answer_t answer = {
-        .ask_ms = collector_report_interval_ms(entries_fresh(c)),
+        .ask_ms = collector_report_interval_ms(active_entries_count(c)),
         .grants = g_array_new(FALSE, FALSE, sizeof(limit_grant_t)),
     };
     guint granted = 0;
     for (guint i = 0; i < report.asks->len; i++) {
-        limit_grant_t grant = answer_ask(
-            c, &asker, &g_array_index(report.asks, limit_request_t, i));
+        limit_grant_t grant = handle_limit_request(
+            c, &requester, &g_array_index(report.asks, limit_request_t, i));
         granted += grant.granted;
         g_array_append_val(answer.grants, grant);
     }
@@ -105,7 +107,7 @@
     counter_add(counter_get("limit_asks_total", NULL, FALSE), 1);
     counter_add(counter_get("limit_sends_granted_total", NULL, FALSE),
                 granted);
-    publish(c);
+    publish_limits(c);
 }
 
 void
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -10,7 +10,7 @@
     MS = 1000,
     /* Sums that did not change are told again after this, so that they are
      * still counted where they go (collector_report_max_age_ms). */
-    SUMS_SAME_US = 400 * MS,
+    SUMS_REFRESH_US = 400 * MS,
 };
 
 void
@@ -18,9 +18,9 @@
 {
     load_report_t report;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = load_report_read(bytes, &report);
+    gboolean valid = load_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
@@ -54,19 +54,19 @@
 {
     load_sums_t sums;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = load_sums_read(bytes, &sums);
+    gboolean valid = load_sums_read(bytes, &sums);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    gboolean taken =
+    gboolean accepted =
         load_sum_apply_changes(c->loads, sums.from, sums.loads, sums.sequence,
                                sums.base, control_now(c));
     part_feed_add(c->parts, sums.parts);
     traffic_note_place(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
-    if (!taken) {
+    if (!accepted) {
         answer_plain(exchange, 409, "{\"error\":\"its base is not known\"}");
         return;
     }
@@ -76,28 +76,28 @@
 /* ---- sums, told to the other control instances ---- */
 
 GHashTable *
-load_sums_table(void)
+load_deltas_create(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                  (GDestroyNotify)load_delta_destroy);
 }
 
 static load_delta_t *
-delta_of(control_t *c, const char *to)
+delta_find(control_t *c, const char *to)
 {
-    load_delta_t *delta = g_hash_table_lookup(c->told_sums, to);
+    load_delta_t *delta = g_hash_table_lookup(c->peer_load_deltas, to);
     if (delta == NULL) {
         delta = load_delta_create();
-        g_hash_table_insert(c->told_sums, g_strdup(to), delta);
+        g_hash_table_insert(c->peer_load_deltas, g_strdup(to), delta);
     }
     return delta;
 }
 
 static void
-tell_sums(control_t *c, const char *to, GArray *loads, GArray *parts)
+send_sums(control_t *c, const char *to, GArray *loads, GArray *parts)
 {
     gint64 now = control_now(c);
-    load_delta_t *delta = delta_of(c, to);
+    load_delta_t *delta = delta_find(c, to);
     if (load_delta_is_pending(delta)) {
         return;
     }
@@ -109,9 +109,9 @@
                         .base = base,
                         .loads = load_delta_changes(delta, loads),
                         .parts = parts};
-    gboolean news = sums.loads->len > 0 || parts->len > 0;
-    gboolean due = now - load_delta_sent_us(delta) >= SUMS_SAME_US;
-    if (news || due) {
+    gboolean changed = sums.loads->len > 0 || parts->len > 0;
+    gboolean due = now - load_delta_sent_us(delta) >= SUMS_REFRESH_US;
+    if (changed || due) {
         GBytes *bytes = load_sums_write(&sums);
         if (peer_message_post(c, to, PEER_MESSAGE_LOADS,
                               str_from_bytes(bytes))) {
@@ -123,29 +123,29 @@
 }
 
 void
-load_sums_spread(void *data)
+load_sums_send(void *data)
 {
     control_t *c = data;
     if (load_sum_clear_changed(c->own_loads) || c->sorted_loads == NULL) {
         g_clear_pointer(&c->sorted_loads, g_array_unref);
         c->sorted_loads = load_sum_sorted(c->own_loads);
     }
-    GArray *parts = part_feed_since(c->own_parts, &c->told_parts);
+    GArray *parts = part_feed_since(c->own_parts, &c->parts_sent_cursor);
     c->sums_sequence++;
     for (guint i = 0; i < c->view.voters.count; i++) {
         const char *name = c->view.voters.members[i].name;
         if (g_strcmp0(name, c->self) != 0) {
-            tell_sums(c, name, c->sorted_loads, parts);
+            send_sums(c, name, c->sorted_loads, parts);
         }
     }
     g_array_unref(parts);
 }
 
 void
-load_sums_ended(control_t *c, const char *to, gboolean taken)
+load_sums_delivery_ended(control_t *c, const char *to, gboolean accepted)
 {
-    load_delta_t *delta = delta_of(c, to);
-    if (taken) {
+    load_delta_t *delta = delta_find(c, to);
+    if (accepted) {
         load_delta_acknowledged(delta);
     }
     else {
@@ -154,9 +154,9 @@
 }
 
 void
-load_sums_forget(control_t *c)
+load_sums_reset(control_t *c)
 {
-    g_hash_table_remove_all(c->told_sums);
+    g_hash_table_remove_all(c->peer_load_deltas);
 }
 
 void
--- a/carobloomd/control/operator_calls.c
+++ b/carobloomd/control/operator_calls.c
@@ -14,7 +14,7 @@
 
 /* Sends the operator on to the leader, or away for a moment. */
 static void
-answer_elsewhere(control_t *c, http_exchange_t *exchange)
+redirect_to_leader(control_t *c, http_exchange_t *exchange)
 {
     const char *leader = c->view.leader;
     const char *port = strrchr(c->settings->control, ':');
@@ -50,14 +50,14 @@
     pending_put_t *put = g_new0(pending_put_t, 1);
     *put = (pending_put_t){
         .call = ++c->last_call, .version = version, .exchange = exchange};
-    g_hash_table_insert(c->puts, &put->call, put);
+    g_hash_table_insert(c->pending_puts, &put->call, put);
     http_exchange_set_data(exchange, put);
     if (task_send(c->log_task,
                   config_put_message(put->call, version,
                                      g_bytes_new(body.data, body.length))) !=
         TASK_OK) {
         http_exchange_set_data(exchange, NULL);
-        g_hash_table_remove(c->puts, &put->call);
+        g_hash_table_remove(c->pending_puts, &put->call);
         answer_plain(exchange, 503, "{\"error\":\"the log is busy\"}");
     }
 }
@@ -81,7 +81,7 @@
     guint64 version = config->version;
     route_config_unref(config);
     if (!c->view.leads || !control_may_read(c)) {
-        answer_elsewhere(c, exchange);
+        redirect_to_leader(c, exchange);
         return;
     }
     if (control_newest(c) != NULL && version <= control_newest_version(c)) {
@@ -93,9 +93,9 @@
 }
 
 void
-handle_result(control_t *c, const config_result_message_t *m)
+handle_put_result(control_t *c, const config_result_message_t *m)
 {
-    pending_put_t *put = g_hash_table_lookup(c->puts, &m->call);
+    pending_put_t *put = g_hash_table_lookup(c->pending_puts, &m->call);
     if (put == NULL) {
         return;
     }
@@ -104,15 +104,15 @@
         http_exchange_set_data(put->exchange, NULL);
         answer_plain(put->exchange, m->durable ? 200 : 503, "{}");
     }
-    g_hash_table_remove(c->puts, &m->call);
+    g_hash_table_remove(c->pending_puts, &m->call);
 }
 
 void
 handle_config_get(control_t *c, http_exchange_t *exchange)
 {
-    const kept_text_t *text = control_newest(c);
+    const committed_config_t *text = control_newest(c);
     if (!control_may_read(c)) {
-        answer_elsewhere(c, exchange);
+        redirect_to_leader(c, exchange);
         return;
     }
     if (text == NULL) {
@@ -125,7 +125,7 @@
 }
 
 void
-operator_gone(http_exchange_t *exchange)
+operator_disconnected(http_exchange_t *exchange)
 {
     pending_put_t *put = http_exchange_data(exchange);
     if (put != NULL) {
--- a/carobloomd/control/peer_messages.c
+++ b/carobloomd/control/peer_messages.c
@@ -6,32 +6,32 @@
 
 enum {
     MS = 1000,
-    MESSAGE_US = 700 * MS,
+    MESSAGE_TIMEOUT_US = 700 * MS,
 };
 
 /* How messages of one kind go. */
 typedef struct {
     const char *path;
     traffic_kind_t traffic;
-    guint under_way_max; /* to one control instance */
-    /* Whether it was taken there is known; NULL: nobody asks. */
-    void (*ended)(control_t *control, const char *to, gboolean taken);
+    guint max_in_flight; /* to one control instance */
+    /* Whether it was accepted there is known; NULL: nobody asks. */
+    void (*done)(control_t *control, const char *to, gboolean accepted);
 } delivery_t;
 
 static const delivery_t DELIVERIES[PEER_MESSAGE_KINDS] = {
     /* The log sends again what matters. */
     [PEER_MESSAGE_VOTER] = {.path = VOTER_PATH,
                             .traffic = TRAFFIC_VOTER,
-                            .under_way_max = 16},
+                            .max_in_flight = 16},
     /* The next sums make up for those not sent. */
     [PEER_MESSAGE_LOADS] = {.path = LOAD_SUMS_PATH,
                             .traffic = TRAFFIC_LOAD_SUMS,
-                            .under_way_max = 1,
-                            .ended = load_sums_ended},
+                            .max_in_flight = 1,
+                            .done = load_sums_delivery_ended},
     /* A time that waited is wrong: none waits. */
     [PEER_MESSAGE_CLOCK] = {.path = CLOCK_PATH,
                             .traffic = TRAFFIC_CLOCK,
-                            .under_way_max = 1},
+                            .max_in_flight = 1},
 };
 
 static const http_peer_limits_t PEER_LIMITS = {
@@ -47,7 +47,7 @@
     char *address;
     http_peer_t *connections; /* NULL: the address is none */
     GList *calls;             /* peer_message_t */
-    guint under_way[PEER_MESSAGE_KINDS];
+    guint in_flight[PEER_MESSAGE_KINDS];
 } peer_t;
 
 typedef struct {
@@ -59,16 +59,16 @@
 } peer_message_t;
 
 static void
-message_end(peer_message_t *message, gboolean taken)
+message_end(peer_message_t *message, gboolean accepted)
 {
     peer_t *to = message->to;
     const delivery_t *delivery = &DELIVERIES[message->kind];
     timers_cancel(to->control->timers, message->timer);
     to->calls = g_list_remove(to->calls, message);
-    to->under_way[message->kind]--;
+    to->in_flight[message->kind]--;
     g_free(message);
-    if (delivery->ended != NULL) {
-        delivery->ended(to->control, to->address, taken);
+    if (delivery->done != NULL) {
+        delivery->done(to->control, to->address, accepted);
     }
 }
 
@@ -152,7 +152,7 @@
 {
     peer_t *to = peer_find(c, address);
     if (to->connections == NULL ||
-        to->under_way[kind] >= DELIVERIES[kind].under_way_max) {
+        to->in_flight[kind] >= DELIVERIES[kind].max_in_flight) {
         counter_add(counter_get("control_messages_dropped_total", NULL, FALSE),
                     1);
         return FALSE;
@@ -168,15 +168,15 @@
     }
     traffic_count(c->traffic, message->call, DELIVERIES[kind].traffic,
                   to->address);
-    message->timer =
-        timers_subscribe(c->timers, MESSAGE_US, 0, message_expired, message);
+    message->timer = timers_subscribe(c->timers, MESSAGE_TIMEOUT_US, 0,
+                                      message_expired, message);
     to->calls = g_list_prepend(to->calls, message);
-    to->under_way[kind]++;
+    to->in_flight[kind]++;
     return TRUE;
 }
 
 void
-handle_send(control_t *c, const config_envelope_message_t *m)
+handle_log_send(control_t *c, const config_envelope_message_t *m)
 {
     peer_message_post(c, m->to, PEER_MESSAGE_VOTER,
                       str_from_bytes(m->envelope));
--- a/include/carobloom/control/config_log.h
+++ b/include/carobloom/control/config_log.h
@@ -15,14 +15,14 @@
     CONFIG_LOG_PUT,
     CONFIG_LOG_RECEIVED,
     CONFIG_LOG_HAND_OVER,
-    CONFIG_LOG_KEEP,
+    CONFIG_LOG_SAVE_LOCAL,
     CONFIG_LOG_USAGE, /* both ways */
     /* to its owner */
     CONFIG_LOG_SEND,
     CONFIG_LOG_RESULT,
     CONFIG_LOG_APPLIED,
     CONFIG_LOG_VIEW,
-    CONFIG_LOG_KEPT,
+    CONFIG_LOG_LOCAL_STATE,
 } config_log_message_t;
 
 /* CONFIG_LOG_PUT: a checked configuration to append. */
@@ -69,9 +69,9 @@
 
 /* CONFIG_LOG_USAGE, to the log: a command of gateway/usage_wire.h to append;
  * from it: the whole ledger as it is now.
- * CONFIG_LOG_KEEP: bytes of the owner's to keep beside the log, in place of
- * those before; CONFIG_LOG_KEPT: those found at the start. They are this
- * instance's alone and not agreed with the other voters. */
+ * CONFIG_LOG_SAVE_LOCAL: bytes of the owner's to keep beside the log, in place
+ * of those before; CONFIG_LOG_LOCAL_STATE: those found at the start. They are
+ * this instance's alone and not agreed with the other voters. */
 typedef struct {
     message_t base;
     GBytes *bytes;
