--- a/carobloomd/control/config_log_state.h
+++ b/carobloomd/control/config_log_state.h
@@ -1,10 +1,10 @@
-/* Private to the configuration's log: its state, shared by the files that make
- * it up.
+/* Private state of the configuration log, shared by the files that implement
+ * it.
  *
- * log_state.c            what its commands say
- * config_log.c           starting, driving the core with its disk, the task
- * config_log_messages.c  messages to and from its owner
- * config_log_members.c   who votes: newcomers, the lost, the dead */
+ * log_state.c            the replicated state machine
+ * config_log.c           startup, the Raft core and its disk, the task
+ * config_log_messages.c  messages to and from the owner
+ * config_log_members.c   voters: admits new ones, removes dead ones */
 #ifndef CAROBLOOMD_CONTROL_CONFIG_LOG_STATE_H
 #define CAROBLOOMD_CONTROL_CONFIG_LOG_STATE_H
 
@@ -12,61 +12,65 @@
 #include "carobloom/process/log_store.h"
 #include "log_state.h"
 
-/* A put that is to be answered once its version is committed. */
+/* A put to answer once its version is committed. */
 typedef struct {
     guint64 call;
     guint64 version;
     gint64 until_us;
 } pending_commit_t;
 
-/* Another control instance, by what it sent. */
+/* Another control instance that sent a message here. */
 typedef struct {
     char *name;
     guint64 id;
     gint64 received_us;
-    gboolean
-        wants_membership; /* it is not a voting member by its own account */
+    /* sent a hello and is not a voting member yet */
+    gboolean wants_membership;
 } voter_peer_t;
 
 struct config_log {
     const gateway_settings_t *settings;
-    char *self; /* IP:PORT; the name as a voter */
+    char *self; /* IP:PORT; also the name as a voter */
     task_t *owner;
     task_t *task;
     log_store_t *store;
     guint64 id;
     voter_t *core;
-    log_state_t state; /* applied */
+    log_state_t state; /* committed and applied */
     GArray *pending;   /* pending_commit_t */
     GHashTable *peers; /* name -> voter_peer_t */
-    GPtrArray *seeds;  /* names */
+    GPtrArray *seeds;  /* names of the founders */
     gint64 last_hello_us;
-    guint hello_count; /* since it was last a member that knew its leader */
+    /* hello intervals since this voter was last a member with a known
+     * leader */
+    guint hello_count;
     voter_role_t role;
-    gboolean
-        is_founder;  /* it started with an empty disk, the site being new */
-    gboolean failed; /* the disk refused; started anew from it later */
+    gboolean is_founder; /* started with an empty disk as a founder */
+    /* a disk write failed; the log is reopened at `retry_us` */
+    gboolean failed;
     gint64 retry_us;
-    config_view_message_t view; /* last sent */
+    config_view_message_t view; /* as last sent to the owner */
 };
 
 /* config_log_messages.c */
 void message_free_plain(message_t *message);
-/* Sends to another voter; `message` may be NULL, to say who this is. */
+/* Sends `message` to another voter. NULL sends a hello: only the name and
+ * id of this voter. */
 void config_log_send(config_log_t *log, const char *to, GBytes *message);
 void config_log_send_result(config_log_t *log, guint64 call, gboolean durable);
-/* Tells the owner of the version committed here, if there is one. */
+/* Sends the committed configuration, if any, to the owner. */
 void config_log_publish_config(config_log_t *log);
-/* Tells it of the usage windows that are fixed. */
+/* Sends the ledger of finalized usage windows to the owner. */
 void config_log_publish_usage(config_log_t *log);
 
 /* config_log_members.c */
-/* Whoever is not a voting member, or hears of no leader and may have been
- * taken out, says so to all that may lead. */
+/* Sends a hello to all possible leaders if this voter is not a voting
+ * member, or knows no leader and so may have been removed. */
 void members_send_hello(config_log_t *log);
-/* The leader's part, now and then. */
+/* On the leader: admits new voters and removes dead ones. Called
+ * periodically. */
 void members_repair(config_log_t *log, gint64 now_us);
-/* Passes what another voter sent to the core. */
+/* Passes a message from another voter to the core. */
 void members_handle_envelope(config_log_t *log,
                              const config_envelope_message_t *m);
 
--- a/include/carobloom/control/config_log.h
+++ b/include/carobloom/control/config_log.h
@@ -1,7 +1,8 @@
-/* The routing configuration in the voters' replicated log.
+/* The routing configuration in the replicated log of the control instances.
  *
- * A task of its own, since it waits for the disk. Its owner, the control
- * task, carries its messages to the other voters and gets what it decides. */
+ * The log runs in a task of its own because it blocks on the disk. Its owner,
+ * the control task, transports its messages to and from the other voters and
+ * receives what is committed. */
 #ifndef CAROBLOOM_CONTROL_CONFIG_LOG_H
 #define CAROBLOOM_CONTROL_CONFIG_LOG_H
 
@@ -11,13 +12,13 @@
 #include "carobloom/policy/voter.h"
 
 typedef enum {
-    /* to the log */
+    /* owner to log */
     CONFIG_LOG_PUT,
     CONFIG_LOG_RECEIVED,
     CONFIG_LOG_HAND_OVER,
     CONFIG_LOG_SAVE_LOCAL,
-    CONFIG_LOG_USAGE, /* both ways */
-    /* to its owner */
+    CONFIG_LOG_USAGE, /* both directions */
+    /* log to owner */
     CONFIG_LOG_SEND,
     CONFIG_LOG_RESULT,
     CONFIG_LOG_APPLIED,
@@ -25,10 +26,10 @@
     CONFIG_LOG_LOCAL_STATE,
 } config_log_message_t;
 
-/* CONFIG_LOG_PUT: a checked configuration to append. */
+/* CONFIG_LOG_PUT: a valid configuration to append to the log. */
 typedef struct {
     message_t base;
-    guint64 call;
+    guint64 call; /* returned in the result */
     guint64 version;
     GBytes *text;
 } config_put_message_t;
@@ -37,41 +38,42 @@
 typedef struct {
     message_t base;
     char *to;
-    GBytes *envelope; /* voter_envelope_t, written */
+    GBytes *envelope; /* serialized voter_envelope_t */
 } config_envelope_message_t;
 
-/* CONFIG_LOG_RESULT of a put: whether a quorum has it. */
+/* CONFIG_LOG_RESULT: whether a quorum stored the configuration of a put. */
 typedef struct {
     message_t base;
     guint64 call;
-    gboolean durable; /* FALSE: not known; the caller asks again */
+    gboolean durable; /* FALSE: unknown; the caller has to retry */
 } config_result_message_t;
 
-/* CONFIG_LOG_APPLIED: a version is committed. */
+/* CONFIG_LOG_APPLIED: a version was committed. */
 typedef struct {
     message_t base;
     guint64 version;
     GBytes *text;
 } config_applied_message_t;
 
-/* CONFIG_LOG_VIEW: who leads. */
+/* CONFIG_LOG_VIEW: the state of the group as this voter knows it. */
 typedef struct {
     message_t base;
     gboolean leads;
-    gint64 read_until_us; /* clock_boot_us; until then what is applied here is
-                             the newest there is. 0: not so */
-    gboolean in_quorum;   /* a leader was heard of lately */
-    gboolean first_start; /* the site is new, and so is this instance */
+    gint64 read_until_us; /* clock_boot_us; until then the state applied here
+                             is the newest one. 0: it may be outdated */
+    gboolean in_quorum;   /* the leader is known; if this instance leads, its
+                             leader lease is valid */
+    gboolean first_start; /* a founder that started with an empty disk */
     guint64 term;
     char leader[VOTER_NAME_MAX + 1]; /* empty when not known */
     voter_config_t voters;
 } config_view_message_t;
 
 /* CONFIG_LOG_USAGE, to the log: a command of gateway/usage_wire.h to append;
- * from it: the whole ledger as it is now.
- * CONFIG_LOG_SAVE_LOCAL: bytes of the owner's to keep beside the log, in place
- * of those before; CONFIG_LOG_LOCAL_STATE: those found at the start. They are
- * this instance's alone and not agreed with the other voters. */
+ * from the log: the whole current ledger.
+ * CONFIG_LOG_SAVE_LOCAL: bytes to store beside the log, replacing the previous
+ * ones. They belong to this instance alone and are not replicated.
+ * CONFIG_LOG_LOCAL_STATE: these bytes, as found at startup. */
 typedef struct {
     message_t base;
     GBytes *bytes;
@@ -79,16 +81,17 @@
 
 typedef struct config_log config_log_t;
 
-/* NULL when the data folder can not be used; that is logged. */
+/* Opens the log in the data folder. Logs the error and returns NULL when the
+ * folder is unusable. */
 config_log_t *config_log_create(const gateway_settings_t *settings,
                                 const char *self, task_t *owner);
 void config_log_destroy(config_log_t *log);
-/* For task_create and task_start. */
+/* Callbacks for task_create and task_start. */
 void config_log_handle(void *state, message_t *message);
 void config_log_begin(void *state);
 void config_log_set_task(config_log_t *log, task_t *task);
 
-/* Builders of messages to the log; they take what they are given. */
+/* Create messages to the log. They take ownership of their GBytes. */
 message_t *config_put_message(guint64 call, guint64 version, GBytes *text);
 message_t *config_envelope_message(config_log_message_t type, const char *to,
                                    GBytes *envelope);
