--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -12,19 +12,19 @@
     MS = 1000,
     TICK_INTERVAL_US = 25 * MS,
     /* A leader is replaced within about twice the election timeout, well
-     * under the 3 s after which the site counts as calm again; at 0.15 of a
-     * core a heartbeat to four voters each 150 ms costs about 3% of it. */
+     * under the 3 s after which a site counts as stable again. With 0.15 of
+     * a core, a heartbeat to four voters every 150 ms costs about 3% of it. */
     ELECTION_TIMEOUT_US = 800 * MS,
     HEARTBEAT_INTERVAL_US = 150 * MS,
     HELLO_INTERVAL_US = 250 * MS,
-    /* A put that no quorum has by then is left to the caller's next try. */
+    /* A put that no quorum has stored by then fails, and the caller
+     * retries. */
     PUT_TIMEOUT_US = 3000 * MS,
-    DISK_RETRY_INTERVAL_US =
-        500 * MS, /* a full or refusing disk is tried again */
-    COMPACT_MIN_BYTES = 8 * 1024 * 1024, /* of a disk of 128 MB */
+    DISK_RETRY_INTERVAL_US = 500 * MS, /* between attempts to reopen the log */
+    COMPACT_MIN_BYTES = 8 * 1024 * 1024, /* the disk has 128 MB */
 };
 
-/* ---- starting ---- */
+/* ---- startup ---- */
 
 static void
 command_apply(config_log_t *log, GBytes *command)
@@ -60,10 +60,10 @@
     return hash_text(str_from_cstr(name)) | 1;
 }
 
-/* All founders are told the same seeds, so they need no word with each other:
- * each starts with the same membership, under an identity that follows from
- * its address. An instance that comes later, or back without its disk, has
- * an identity of its own making and is taken in by the leader. */
+/* All founders have the same seeds, so that they need no coordination: each
+ * starts with the same membership and derives its voter id from its
+ * address. An instance that joins later, or lost its disk, creates a random
+ * id and is admitted by the leader. */
 static gboolean
 founding_config(const config_log_t *log, voter_config_t *config)
 {
@@ -199,7 +199,7 @@
     log->task = task;
 }
 
-/* ---- driving the core ---- */
+/* ---- the Raft core ---- */
 
 static void
 fail_disk(config_log_t *log, char *why)
@@ -217,7 +217,7 @@
     task_send(log->owner, g_memdup2(&log->view, sizeof(log->view)));
 }
 
-/* FALSE when the disk failed. */
+/* Returns FALSE when the disk failed. */
 static gboolean
 make_durable(config_log_t *log, const voter_ready_t *ready)
 {
@@ -274,7 +274,8 @@
     }
 }
 
-/* Answers the puts whose version, or a higher one, is committed. */
+/* Answers puts whose version, or a higher one, is committed, and fails
+ * those that timed out or lost their leader. */
 static void
 answer_pending(config_log_t *log)
 {
@@ -430,7 +431,7 @@
     g_array_append_val(log->pending, pending);
 }
 
-/* What is lost on the way is proposed again by the owner. */
+/* A command that is lost is proposed again by the owner. */
 static void
 handle_usage(config_log_t *log, const config_bytes_message_t *m)
 {
@@ -443,8 +444,8 @@
     g_bytes_unref(command);
 }
 
-/* After a failed write what is durable is known only from the disk itself:
- * the voter starts from it as after a crash. */
+/* Restarts the voter from the disk, as after a crash: after a failed write
+ * only the disk shows what is durable. */
 static void
 restart_from_disk(config_log_t *log)
 {
--- a/carobloomd/control/config_log_members.c
+++ b/carobloomd/control/config_log_members.c
@@ -9,18 +9,20 @@
 
 enum {
     MS = 1000,
-    HELLO_MAX_AGE_US =
-        1500 * MS, /* one that asked longer ago may be gone again */
+    /* an instance that sent nothing for longer may be gone */
+    HELLO_MAX_AGE_US = 1500 * MS,
     HELLO_PEERS_MAX = 4,
-    /* Hellos, four a second, in which a newcomer is taken in when there is a
-     * place; then one a second is enough, well within HELLO_MAX_AGE_US. */
+    /* The first hellos are sent four times a second, time for the leader to
+     * admit the instance if a member is missing. Later hellos are sent once
+     * a second, well within HELLO_MAX_AGE_US. */
     HELLO_FAST_COUNT = 40,
     HELLO_SLOW_INTERVAL = 4,
 };
 
-/* Some of the others that were heard of, in process_ready: when the seeds are
- * gone one of them knows who leads. Not all: a hundred instances that are no
- * members and greet each other four times a second are 40,000 messages. */
+/* Adds some of the known control instances, in turn: when the seeds are
+ * gone, one of these knows the leader. Not all of them: a hundred
+ * non-members that send each other a hello four times a second send 40,000
+ * messages. */
 static void
 add_peers(config_log_t *log, GHashTable *names)
 {
