--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -1,16 +1,14 @@
-/* Private to the control task: its state, shared by the files that make it
- * up.
+/* Private state of the control task, shared by the files that implement it.
  *
- * control.c           listeners, messages of the log, life
- * operator_calls.c    the operator's changes and reads
- * entry_news.c        news to entry instances
- * load_exchange.c     requests under way and where prompt parts are, of entry
- *                     instances and of all
- * limit_asks.c        limits that endpoints name, granted to entry instances
- * crash_reports.c     endpoints that ended, and requests held back for it
- * peer_messages.c           messages to other control instances
- * endpoint_leases.c   renewals and departures of endpoints
- * duties.h            calls to the platform that one instance makes */
+ * control.c           listeners, messages from the log, startup and shutdown
+ * operator_calls.c    operators' reads and writes of the configuration
+ * entry_news.c        updates for entry instances, answers to their long polls
+ * load_exchange.c     requests in flight and locations of prompt parts
+ * limit_asks.c        endpoints' rate limits, granted to entry instances
+ * crash_reports.c     crashed endpoints and the quarantine of requests
+ * peer_messages.c     messages to other control instances
+ * endpoint_leases.c   lease renewals and departures of endpoints
+ * duties.h            calls to the platform, made by the duty holder alone */
 #ifndef CAROBLOOMD_CONTROL_CONTROL_STATE_H
 #define CAROBLOOMD_CONTROL_CONTROL_STATE_H
 
@@ -26,30 +24,29 @@
 #include "carobloom/policy/registry.h"
 #include "carobloom/version/route_config.h"
 
-/* A configuration that was committed here. */
+/* A configuration that is committed in the log. */
 typedef struct {
     guint64 version;
     GBytes *text;
 } committed_config_t;
 
-/* A difference between two of them, as sent. */
+/* The serialized difference between two committed configurations. */
 typedef struct {
     guint64 base;
     guint64 version;
-    GBytes *bytes; /* NULL: none kept */
+    GBytes *bytes; /* NULL: the cache entry is unused */
 } cached_delta_t;
 
-enum {
-    CONTROL_CACHED_DELTAS_MAX = 8
-}; /* entry instances have one of few versions */
+/* Entry instances have only a few different versions at a time. */
+enum { CONTROL_CACHED_DELTAS_MAX = 8 };
 
-/* What an answer follows from. */
+/* All inputs that determine an answer to a sync request. */
 typedef struct {
-    guint64 since; /* cursor of the asker; 0: it is told all */
+    guint64 since; /* the requester's lease cursor; 0: it needs all leases */
     guint64 published;
-    guint64 orders_since; /* the same of orders to hold requests back */
+    guint64 orders_since; /* the same for quarantine orders */
     guint64 orders;
-    guint64 limits_since; /* the same of limits of endpoints */
+    guint64 limits_since; /* the same for limits of endpoints */
     guint64 limits;
     guint64 request_version;
     guint64 version;
@@ -59,13 +56,14 @@
     guint32 confirmed;
 } answer_key_t;
 
-/* An answer as sent: many ask for the same one. */
+/* A serialized answer, cached because many entry instances request the same
+ * one. */
 typedef struct {
     answer_key_t key;
-    GBytes *bytes; /* NULL: none kept */
+    GBytes *bytes; /* NULL: the cache entry is unused */
 } cached_answer_t;
 
-enum { CONTROL_CACHED_ANSWERS_MAX = 8 }; /* of the last few batches */
+enum { CONTROL_CACHED_ANSWERS_MAX = 8 }; /* answers of the last few batches */
 
 typedef struct duties duties_t;
 
@@ -77,113 +75,126 @@
     char *self;
     traffic_t *traffic;
     guint64 epoch;
-    http_server_t *server; /* endpoints and operators */
-    http_server_t *inner;  /* other instances */
+    http_server_t *server; /* for endpoints and operators */
+    http_server_t *inner;  /* for other instances */
     registry_t *registry;
-    load_sum_t *own_loads; /* of the entry instances that report here */
-    load_sum_t *loads;     /* of these and of the other control instances */
-    GArray *sorted_loads;  /* the sums of these, in order, or NULL */
-    GHashTable
-        *peer_load_deltas;  /* control instance -> load_delta_t of these */
-    guint64 sums_sequence;  /* of the last message with them */
-    part_feed_t *own_parts; /* of the entry instances that report here */
-    guint64
-        parts_sent_cursor; /* of these, told to the other control instances */
-    part_feed_t *parts;    /* of all */
+    /* from entry instances that report to this instance */
+    load_sum_t *own_loads;
+    /* `own_loads` and those of the other control instances */
+    load_sum_t *loads;
+    /* sums of `own_loads`, sorted by endpoint, or NULL */
+    GArray *sorted_loads;
+    /* control instance -> load_delta_t of `own_loads` */
+    GHashTable *peer_load_deltas;
+    guint64 sums_sequence; /* sequence number of the last message with sums */
+    /* from entry instances that report to this instance */
+    part_feed_t *own_parts;
+    /* `own_parts` up to here were sent to the other control instances */
+    guint64 parts_sent_cursor;
+    part_feed_t *parts; /* from all control instances */
     crash_ledger_t *crashes;
-    guint64 orders_published_cursor; /* of the ledger: logged and spread up to
-                                        here */
-    guint64 orders_saved_cursor;     /* written to the disk up to here */
-    gint64 orders_saved_us;          /* when that was */
+    /* quarantine orders up to here are logged and published */
+    guint64 orders_published_cursor;
+    /* quarantine orders up to here are saved to the disk */
+    guint64 orders_saved_cursor;
+    gint64 orders_saved_us; /* time of the last save */
     limit_quota_t *limits;
-    guint64 limits_published_cursor; /* of these changes, logged and spread up
-                                        to here */
+    /* changes of limits up to here are logged and published */
+    guint64 limits_published_cursor;
     config_log_t *log;
     task_t *log_task;
     config_view_message_t view;
-    duties_t *duties; /* NULL: the platform asks for none */
+    duties_t *duties; /* NULL: the platform defines none */
     cached_delta_t deltas[CONTROL_CACHED_DELTAS_MAX];
-    GQueue texts;          /* committed_config_t, the newest at the tail */
-    GHashTable *peers;     /* address -> peer_t */
-    GList *pending_syncs;  /* pending_sync_t */
-    guint64 publish_timer; /* timer: when news go out next; 0: none wait */
-    gint64 published_us;   /* when they last went out */
-    guint64
-        config_timer; /* timer: when a configuration goes out; 0: none waits */
-    guint64 published_cursor; /* cursor of the leases told by then */
+    GQueue texts;             /* committed_config_t, newest at the tail */
+    GHashTable *peers;        /* address -> peer_t */
+    GList *pending_syncs;     /* pending_sync_t */
+    guint64 publish_timer;    /* next batch of updates; 0: none is scheduled */
+    gint64 published_us;      /* time of the last batch */
+    guint64 config_timer;     /* publication of a configuration; 0: none is
+                                 scheduled */
+    guint64 published_cursor; /* lease cursor at the last batch */
     cached_answer_t answers[CONTROL_CACHED_ANSWERS_MAX];
-    guint next_cached_answer; /* the one to give way */
-    GHashTable *entries;      /* instance name -> gint64, when it asked last */
-    guint active_entries;     /* of these, as last counted */
-    gint64 entries_counted_us;  /* when; 0: never */
-    GHashTable *pending_puts;   /* call -> pending_put_t */
-    GHashTable *known_services; /* set of names that a configuration had */
-    guint64 services_version;   /* the newest of these configurations */
+    guint next_cached_answer; /* the cache entry to replace next, modulo the
+                                 size */
+    /* instance name -> gint64 *, time of its last sync request */
+    GHashTable *entries;
+    guint active_entries;      /* number of active ones, as last counted */
+    gint64 entries_counted_us; /* time of that count; 0: never */
+    GHashTable *pending_puts;  /* call -> pending_put_t */
+    /* set of all names that were in a configuration */
+    GHashTable *known_services;
+    guint64 services_version; /* the newest configuration in that set */
     guint64 last_call;
-    gint64 last_quorum_us; /* when the quorum was last heard of */
-    gint64 last_sync_us;   /* when an entry instance last asked */
+    gint64 last_quorum_us; /* last time that the quorum was reachable */
+    /* time of the last sync request of any entry instance */
+    gint64 last_sync_us;
     gboolean draining;
     gint64 drained_us;
 };
 
 gint64 control_now(const control_t *control);
-/* The newest configuration committed here, or NULL; and its version, or 0. */
+/* The newest configuration committed here, or NULL; its version, or 0. */
 const committed_config_t *control_newest(const control_t *control);
 guint64 control_newest_version(const control_t *control);
-/* It decoded, to be unref'd; NULL when there is none, or it can not be read,
- * which is logged. */
+/* Decodes the newest configuration; release it with route_config_unref.
+ * Returns NULL when there is none, or when it is unreadable, which is
+ * logged. */
 route_config_t *control_read_newest(const control_t *control);
-/* Whether what is committed here is the newest there is, now. */
+/* Whether the configuration committed here is certain to be the newest one
+ * now. */
 gboolean control_may_read(const control_t *control);
 void answer_plain(http_exchange_t *exchange, guint status, const char *text);
-/* What an instance posted, as bytes that live as long as the exchange's body;
- * to be unref'd. */
+/* The body that an instance posted. The bytes are valid as long as the
+ * exchange's body; release them with g_bytes_unref. */
 GBytes *posted_bytes(http_exchange_t *exchange);
 
 /* operator_calls.c */
 void handle_config_put(control_t *control, http_exchange_t *exchange);
 void handle_config_get(control_t *control, http_exchange_t *exchange);
 void handle_put_result(control_t *control, const config_result_message_t *m);
-/* The operator left before the answer. */
+/* The operator disconnected before the answer. */
 void operator_disconnected(http_exchange_t *exchange);
 
 /* entry_news.c */
 void handle_sync(control_t *control, http_exchange_t *exchange);
-/* Answers the entry instances for which there is news by now. */
+/* Answers the waiting entry instances that have updates, at once or with
+ * the next batch. */
 void control_publish_updates(control_t *control);
-/* A configuration was committed: the same, at once but for those that are
- * committed with it. */
+/* Publishes a new configuration. It doesn't wait for the next batch, only a
+ * short time for other configurations that are committed with it. */
 void control_publish_config(control_t *control);
-/* What was kept to answer with no longer holds. */
+/* Clears the cache of answers when they are outdated. */
 void cached_answers_clear(control_t *control);
-/* Answers all that are held, or drops them without an answer. */
+/* Answers all waiting sync requests, or drops them without an answer. */
 void pending_syncs_answer_all(control_t *control);
 void pending_syncs_drop_all(control_t *control);
 void entry_disconnected(http_exchange_t *exchange);
-/* Entry instances that asked lately. */
+/* The number of entry instances with a recent sync request. */
 guint active_entries_count(control_t *control);
-/* Whether any did. */
+/* Whether any entry instance sent a sync request recently. */
 gboolean has_active_entries(const control_t *control);
 
 /* load_exchange.c */
 void handle_loads(control_t *control, http_exchange_t *exchange);
 void handle_load_sums(control_t *control, http_exchange_t *exchange);
-/* An empty control_t.peer_load_deltas. */
+/* Creates an empty table for control_t.peer_load_deltas. */
 GHashTable *load_deltas_create(void);
-/* For a timer: tells the other control instances. */
+/* Timer callback: sends the sums to the other control instances. */
 void load_sums_send(void *control);
 void load_sums_expire(control_t *control);
-/* A message with sums was accepted by a control instance, or may not have
- * been.
- */
+/* Handles the end of a message with sums: `to` accepted it, or it may be
+ * lost. */
 void load_sums_delivery_ended(control_t *control, const char *to,
                               gboolean accepted);
-/* Nobody is known to have any sums: the members changed. */
+/* Sends all sums, not only changes, to each control instance next time. To
+ * be called when the members change. */
 void load_sums_reset(control_t *control);
 
 /* crash_reports.c */
 void handle_crashes(control_t *control, http_exchange_t *exchange);
-/* What was held before the last start. */
+/* Restores the quarantine orders that were saved before this process
+ * started. */
 void handle_saved_orders(control_t *control, const config_bytes_message_t *m);
 /* To be called several times a second. */
 void crash_reports_tick(control_t *control);
@@ -201,27 +212,27 @@
     PEER_MESSAGE_KINDS,
 } peer_message_kind_t;
 /* Posts a message to another control instance (IP:PORT of its inner
- * listener). It may be lost; FALSE: it was dropped, since too many are under
- * way or there is no such address. */
+ * listener). The message may be lost. Returns FALSE if it was dropped
+ * because the address is invalid or too many messages to it are in flight. */
 gboolean peer_message_post(control_t *control, const char *to,
                            peer_message_kind_t kind, str_t bytes);
 void handle_log_send(control_t *control, const config_envelope_message_t *m);
 void handle_voter_message(control_t *control, http_exchange_t *exchange);
-/* For the table of peers. */
+/* Frees a value of control_t.peers. */
 void peer_free(gpointer data);
 
 /* duties.c */
-/* NULL where there are none. */
+/* Returns NULL when the platform defines no duties. */
 duties_t *duties_create(control_t *control);
 void duties_destroy(duties_t *duties);
-/* The control's view of the log changed. */
+/* Applies a change of control_t.view. */
 void duties_apply_view(duties_t *duties);
-/* Usage as the log has it. */
+/* Applies the usage ledger from the log. */
 void duties_apply_ledger(duties_t *duties, GBytes *bytes);
 void handle_usage_report(control_t *control, http_exchange_t *exchange);
 void handle_clock(control_t *control, http_exchange_t *exchange);
 void duties_dump(const duties_t *duties, GString *text);
-/* JSON for operators, freed with g_free; NULL where it is no duty. */
+/* JSON for operators, freed with g_free; NULL if it is not a duty. */
 char *duties_usage_text(const duties_t *duties);
 char *duties_capacity_text(const duties_t *duties);
 
--- a/include/carobloom/control/control.h
+++ b/include/carobloom/control/control.h
@@ -1,5 +1,5 @@
-/* The control task of an instance: leases of endpoints, the operator's
- * configuration, and news to the entry instances. */
+/* The control task of an instance: leases of endpoints, the operators'
+ * configuration, and updates for entry instances. */
 #ifndef CAROBLOOM_CONTROL_CONTROL_H
 #define CAROBLOOM_CONTROL_CONTROL_H
 
@@ -9,21 +9,24 @@
 
 typedef struct control control_t;
 
-/* Listens and starts the log. NULL with the fault logged. */
+/* Starts the listeners and the log. Logs the error and returns NULL on
+ * failure. */
 control_t *control_create(const gateway_settings_t *settings, task_t *task,
                           poller_t *poller);
 void control_destroy(control_t *control);
-/* Takes changed settings: for how long requests are held back. */
+/* Applies changed settings: how long requests stay quarantined. */
 void control_reload(control_t *control, const gateway_settings_t *settings);
-/* Messages of the log. */
+/* Handles a message from the log. */
 void control_handle(control_t *control, message_t *message);
-/* SIGTERM: hands leadership over and serves on until control_idle. */
+/* Hands leadership over on SIGTERM. The instance keeps serving until
+ * control_idle returns TRUE. */
 void control_drain(control_t *control);
 gboolean control_idle(const control_t *control);
-/* State as text, for the dump; freed with g_free. */
+/* The state as text for the dump, freed with g_free. */
 char *control_dump(const control_t *control);
-/* Usage by team and window, and engines planned, ordered and present, as JSON;
- * freed with g_free. NULL where they are no duties. */
+/* Usage by team and window, and numbers of engines planned, ordered and
+ * present, as JSON; freed with g_free. NULL if the platform defines no such
+ * duty. */
 char *control_usage(const control_t *control);
 char *control_capacity(const control_t *control);
 
