--- a/carobloomd/control/log_state.c
+++ b/carobloomd/control/log_state.c
@@ -3,9 +3,9 @@
 #include "carobloom/common/codec.h"
 #include "carobloom/gateway/usage_wire.h"
 
-/* A number that tells what follows: the version of a configuration, whose text
- * it is, or one of these. Logs that hold nothing but configurations were
- * written before there was anything else. */
+/* The first field of a command is either one of these kinds or the version
+ * of a configuration, whose text follows. Older logs contain configurations
+ * only and have no kinds, so a version must stay valid there. */
 static const guint64 KIND_USAGE = G_MAXUINT64;
 static const guint64 KIND_SNAPSHOT = G_MAXUINT64 - 1;
 
--- a/carobloomd/control/log_state.h
+++ b/carobloomd/control/log_state.h
@@ -1,17 +1,18 @@
-/* What the replicated log says: the configuration in force, and usage windows
- * whose figures are fixed. Private to the log's task. */
+/* The state machine of the replicated log: the current configuration and
+ * the finalized usage windows. Private to the log's task. */
 #ifndef CAROBLOOMD_CONTROL_LOG_STATE_H
 #define CAROBLOOMD_CONTROL_LOG_STATE_H
 
 #include "carobloom/policy/usage_ledger.h"
 
 typedef struct {
-    guint64 version; /* of the configuration; its text is NULL before one */
+    guint64 version; /* of the configuration; `text` is NULL before the first
+                        one */
     GBytes *text;
     usage_ledger_t *usage;
 } log_state_t;
 
-/* What a command changed; bits. */
+/* What a command changed, as bits. */
 enum {
     LOG_STATE_CONFIG = 1,
     LOG_STATE_USAGE = 2,
@@ -19,13 +20,14 @@
 
 void log_state_init(log_state_t *state);
 void log_state_clear(log_state_t *state);
-/* Applies a command, or a snapshot, which replaces what was there. Bytes that
- * are neither change nothing, as does the empty snapshot of the founding. */
+/* Applies a command, or a snapshot, which replaces the whole state. Other
+ * bytes change nothing; nor does the empty snapshot that founders start
+ * with. Returns the LOG_STATE_ bits of what changed. */
 guint log_state_apply(log_state_t *state, GBytes *command);
-/* All of it, for log_state_apply. */
+/* The whole state as a command for log_state_apply. */
 GBytes *log_state_snapshot(const log_state_t *state);
 
-/* Commands for the log. */
+/* Serialize commands for the log. */
 GBytes *log_config_command(guint64 version, GBytes *text);
 GBytes *log_usage_command(GBytes *command);
 
