--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -20,7 +20,7 @@
     /* A put that no quorum has stored by then fails, and the caller
      * retries. */
     PUT_TIMEOUT_US = 3000 * MS,
-    DISK_RETRY_INTERVAL_US = 500 * MS, /* between attempts to reopen the log */
+    DISK_RETRY_INTERVAL_US = 500 * MS, /* a full or failing disk is retried */
     COMPACT_MIN_BYTES = 8 * 1024 * 1024, /* the disk has 128 MB */
 };
 
--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -15,21 +15,23 @@
 enum {
     MS = 1000,
     EXPIRE_INTERVAL_US = 200 * MS,
-    /* Texts kept to send the next as a difference: a storm of changes brings
-     * three a second, and an entry instance asks at least once a second. */
+    /* Configurations kept as bases of differences. A burst of changes has
+     * three a second, and an entry instance sends a sync request at least
+     * once a second. */
     TEXTS_MAX = 16,
     MAILBOX_BOUND = 10000,
-    /* Between two messages to each other control instance about requests under
-     * way, half of what entry instances wait: with eight others 160 a second
-     * of some 0.05 ms each way. */
+    /* Between two messages with loads to each other control instance: half
+     * the interval at which entry instances report. With eight others this
+     * is 160 messages a second, about 0.05 ms each for sending and
+     * receiving. */
     SUMS_INTERVAL_US = 50 * MS,
-    /* For another leader to be elected before this instance ends. */
+    /* Time for the others to elect a leader before this instance exits. */
     HANDOVER_TIMEOUT_US = 1500 * MS,
 };
 
 static const http_limits_t CONTROL_LIMITS = {
     .head_max = 16384,
-    .body_max = 16 * 1024 * 1024, /* four times the largest body met */
+    .body_max = 16 * 1024 * 1024, /* four times the largest known body */
     .head_us = 5 * G_USEC_PER_SEC,
     .idle_us = 5 * G_USEC_PER_SEC, /* four heartbeats of 1.2 s */
     .connections = 2800,           /* of 4,096 descriptors */
@@ -172,14 +174,14 @@
 }
 
 static void
-outer_gone(http_exchange_t *exchange, void *user)
+outer_disconnected(http_exchange_t *exchange, void *user)
 {
     (void)user;
     operator_disconnected(exchange);
 }
 
 static void
-inner_gone(http_exchange_t *exchange, void *user)
+inner_disconnected(http_exchange_t *exchange, void *user)
 {
     (void)user;
     entry_disconnected(exchange);
@@ -192,12 +194,14 @@
     (void)user;
 }
 
-static const http_server_ops_t OUTER_OPS = {
-    .request = handle_outer, .gone = outer_gone, .drained = handle_drained};
-static const http_server_ops_t INNER_OPS = {
-    .request = handle_inner, .gone = inner_gone, .drained = handle_drained};
+static const http_server_ops_t OUTER_OPS = {.request = handle_outer,
+                                            .gone = outer_disconnected,
+                                            .drained = handle_drained};
+static const http_server_ops_t INNER_OPS = {.request = handle_inner,
+                                            .gone = inner_disconnected,
+                                            .drained = handle_drained};
 
-/* ---- life ---- */
+/* ---- startup, shutdown and messages from the log ---- */
 
 static void
 handle_applied(control_t *c, const config_applied_message_t *m)
@@ -241,7 +245,8 @@
     gboolean may_read_now =
         c->view.read_until_us == 0 && view->read_until_us != 0;
     if (!same_members(&view->voters, &c->view.voters)) {
-        cached_answers_clear(c); /* they name the control instances */
+        /* Cached answers list the control instances. */
+        cached_answers_clear(c);
         load_sums_reset(c);
     }
     c->view = *view;
@@ -350,7 +355,7 @@
     c->limits = limit_quota_create();
     c->own_loads = load_sum_create();
     c->loads = load_sum_create();
-    c->sums_sequence = c->epoch; /* not one of a start before */
+    c->sums_sequence = c->epoch; /* unique to this incarnation */
     c->peer_load_deltas = load_deltas_create();
     c->own_parts = part_feed_create();
     c->parts = part_feed_create();
@@ -437,7 +442,7 @@
         "self %s\nleader %s\nleads %d\nterm %" G_GUINT64_FORMAT
         "\nconfig version %" G_GUINT64_FORMAT
         "\nendpoints %u\nentries %u, %u report here\n"
-        "requests held back %u, suspect %u, endpoints that ended %u\n",
+        "requests quarantined %u, suspect %u, endpoints that ended %u\n",
         c->self, c->view.leader, c->view.leads, c->view.term,
         control_newest_version(c), registry_count(c->registry),
         c->active_entries, load_sum_reporters(c->own_loads),
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -5,7 +5,7 @@
  * entry_news.c        updates for entry instances, answers to their long polls
  * load_exchange.c     requests in flight and locations of prompt parts
  * limit_asks.c        endpoints' rate limits, granted to entry instances
- * crash_reports.c     crashed endpoints and the quarantine of requests
+ * crash_reports.c     endpoints that ended and the quarantine of requests
  * peer_messages.c     messages to other control instances
  * endpoint_leases.c   lease renewals and departures of endpoints
  * duties.h            calls to the platform, made by the duty holder alone */
--- a/carobloomd/control/log_state.c
+++ b/carobloomd/control/log_state.c
@@ -4,8 +4,8 @@
 #include "carobloom/gateway/usage_wire.h"
 
 /* The first field of a command is either one of these kinds or the version
- * of a configuration, whose text follows. Older logs contain configurations
- * only and have no kinds, so a version must stay valid there. */
+ * of a configuration, whose text follows. Logs that were written before
+ * these kinds existed contain only configurations. */
 static const guint64 KIND_USAGE = G_MAXUINT64;
 static const guint64 KIND_SNAPSHOT = G_MAXUINT64 - 1;
 
--- a/carobloomd/control/log_state.h
+++ b/carobloomd/control/log_state.h
@@ -6,9 +6,8 @@
 #include "carobloom/policy/usage_ledger.h"
 
 typedef struct {
-    guint64 version; /* of the configuration; `text` is NULL before the first
-                        one */
-    GBytes *text;
+    guint64 version; /* of the configuration */
+    GBytes *text;    /* NULL before the first configuration */
     usage_ledger_t *usage;
 } log_state_t;
 
