--- a/carobloomd/control/operator_calls.c
+++ b/carobloomd/control/operator_calls.c
@@ -5,14 +5,15 @@
 #include "control_state.h"
 #include "platform.h"
 
-/* An operator's change on its way through the log. */
+/* An operator's change that waits for the log to commit it. */
 typedef struct {
     guint64 call;
     guint64 version;
-    http_exchange_t *exchange; /* NULL once the operator left */
+    http_exchange_t *exchange; /* NULL after the operator disconnected */
 } pending_put_t;
 
-/* Sends the operator on to the leader, or away for a moment. */
+/* Redirects the operator to the leader, or asks for a retry when none is
+ * known. */
 static void
 redirect_to_leader(control_t *c, http_exchange_t *exchange)
 {
--- a/carobloomd/control/peer_messages.c
+++ b/carobloomd/control/peer_messages.c
@@ -9,26 +9,27 @@
     MESSAGE_TIMEOUT_US = 700 * MS,
 };
 
-/* How messages of one kind go. */
+/* How messages of one kind are delivered. */
 typedef struct {
     const char *path;
     traffic_kind_t traffic;
-    guint max_in_flight; /* to one control instance */
-    /* Whether it was accepted there is known; NULL: nobody asks. */
+    guint max_in_flight; /* per control instance */
+    /* Called when the message ends; `accepted` is FALSE if it may be lost.
+     * May be NULL. */
     void (*done)(control_t *control, const char *to, gboolean accepted);
 } delivery_t;
 
 static const delivery_t DELIVERIES[PEER_MESSAGE_KINDS] = {
-    /* The log sends again what matters. */
+    /* The log retransmits lost messages itself. */
     [PEER_MESSAGE_VOTER] = {.path = VOTER_PATH,
                             .traffic = TRAFFIC_VOTER,
                             .max_in_flight = 16},
-    /* The next sums make up for those not sent. */
+    /* The next sums replace lost ones. */
     [PEER_MESSAGE_LOADS] = {.path = LOAD_SUMS_PATH,
                             .traffic = TRAFFIC_LOAD_SUMS,
                             .max_in_flight = 1,
                             .done = load_sums_delivery_ended},
-    /* A time that waited is wrong: none waits. */
+    /* A delayed timestamp would be wrong, so none is queued. */
     [PEER_MESSAGE_CLOCK] = {.path = CLOCK_PATH,
                             .traffic = TRAFFIC_CLOCK,
                             .max_in_flight = 1},
@@ -45,7 +46,7 @@
 typedef struct {
     control_t *control;
     char *address;
-    http_peer_t *connections; /* NULL: the address is none */
+    http_peer_t *connections; /* NULL: the address is invalid */
     GList *calls;             /* peer_message_t */
     guint in_flight[PEER_MESSAGE_KINDS];
 } peer_t;
@@ -55,7 +56,7 @@
     peer_message_kind_t kind;
     client_call_t *call;
     guint64 timer;
-    guint status; /* of the answer; 0: none */
+    guint status; /* of the answer; 0: no answer yet */
 } peer_message_t;
 
 static void
@@ -100,7 +101,7 @@
 on_message_failed(client_call_t *call, call_failure_t failure, void *user)
 {
     (void)call;
-    (void)failure; /* see DELIVERIES */
+    (void)failure; /* lost messages are handled as in DELIVERIES */
     counter_add(counter_get("control_messages_failed_total", NULL, FALSE), 1);
     message_end(user, FALSE);
 }
