--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -11,34 +11,40 @@
 
 enum {
     MS = 1000,
-    /* An entry instance that asked within this time counts as one. */
+    /* An entry instance is active if its last sync request is more recent
+     * than this. */
     ENTRY_ACTIVE_US = 3000 * MS,
-    /* Orders to hold requests back in one answer, some 7 KB of it: thousands
-     * go out in batches, at half a second at most between two. */
+    /* Quarantine orders in one answer, about 7 KB. Thousands of orders go
+     * out in batches, at most half a second apart. */
     ORDERS_MAX = 128,
-    LIMITS_MAX = 256,    /* the same of limits of endpoints, some 4 KB */
-    WAIT_MAX_MS = 10000, /* that an entry instance may be held for */
-    /* Between two answers to all that are held: each costs 0.1 ms, so 7% of a
-     * core at most. Thousands of endpoints that start together are told in
-     * tens of such, not one by one. Half a second is a quarter of the bound
-     * for an endpoint that drains. */
+    LIMITS_MAX = 256,    /* limits of endpoints in one answer, about 4 KB */
+    WAIT_MAX_MS = 10000, /* maximum wait of a sync request for updates */
+    /* Minimum interval between two batches of answers to all waiting entry
+     * instances, per active entry instance. An answer costs 0.1 ms, so
+     * batches use at most 7% of a core. Thousands of endpoints that start
+     * together are published in tens of batches, not one by one. The
+     * maximum of half a second is a quarter of the time within which the
+     * start of an endpoint's draining must be published. */
     PUBLISH_US_PER_ENTRY = 1500,
     PUBLISH_INTERVAL_MAX_US = 500 * MS,
-    /* A configuration does not wait for such a batch, only for what is
-     * committed with it: a new leader commits all that came before. After all
-     * processes were lost, 8 of 16 entry instances, of 347, were told 500 ms
-     * later than the first, and refused what came until then. */
+    /* A configuration doesn't wait for such a batch, only for
+     * configurations that are committed with it: a new leader commits all
+     * earlier entries at once. When configurations did wait, and all
+     * processes had been lost, 8 of 16 entry instances (of 347) received
+     * the configuration 500 ms later than the first one did, and refused
+     * requests until then. */
     CONFIG_DELAY_US = 20 * MS,
-    /* Between two counts of the entry instances that ask, for each of them. */
+    /* Minimum interval between two counts of active entry instances, per
+     * entry instance. */
     COUNT_US_PER_ENTRY = 20,
 };
 
-/* An entry instance's question, held until there is news. */
+/* A sync request of an entry instance, waiting for updates. */
 typedef struct {
     control_t *control;
     http_exchange_t *exchange;
     sync_request_t request;
-    gint64 received_us; /* clock_boot_us, not the timers' clock: never early */
+    gint64 received_us; /* clock_boot_us: the timers' clock may lag behind */
     guint64 timer;
 } pending_sync_t;
 
@@ -53,8 +59,9 @@
     return NULL;
 }
 
-/* The difference from `base` (0: the empty text) to the newest. Many ask for
- * the same one, so the last few are kept. */
+/* The difference from the configuration `base` (0: the empty text) to the
+ * newest. The last few are cached because many entry instances need the
+ * same one. */
 static GBytes *
 config_delta(control_t *c, guint64 base, str_t from,
              const committed_config_t *now)
@@ -133,8 +140,9 @@
     };
 }
 
-/* Which entry instance tries a held request: the same whichever control
- * instance orders it, as far as the same entry instances ask there. */
+/* The entry instance that probes a quarantined request, chosen by
+ * rendezvous hashing. All control instances choose the same one if the same
+ * entry instances are active on them. */
 static char *
 probe_instance(const control_t *c, guint64 fingerprint)
 {
@@ -204,10 +212,11 @@
     return bytes;
 }
 
-/* The answer, written once for all that ask the same. 291 entry instances that
- * are each told of 3,000 leases in an answer of its own keep a control
- * instance of 0.15 cores busy for 30 s; meanwhile endpoints get no answer in
- * time and turn to the next instance, which makes the list longer. */
+/* The serialized answer, cached for all entry instances with equal
+ * requests. Writing an answer each for 291 entry instances with 3,000
+ * leases would keep a control instance with 0.15 cores busy for 30 s.
+ * Meanwhile endpoints would time out and turn to the next instance, which
+ * makes the list of leases longer still. */
 static GBytes *
 sync_answer_bytes(control_t *c, const sync_request_t *request)
 {
@@ -245,7 +254,7 @@
            has_config_update(c, request);
 }
 
-/* `held_us` is for how long the question waited. */
+/* `held_us` is the time for which the request waited. */
 static void
 sync_answer(control_t *c, http_exchange_t *exchange,
             const sync_request_t *request, gint64 held_us)
@@ -310,7 +319,7 @@
     publish_now(c);
 }
 
-/* Until news may go out again; 0 or less: now. */
+/* Time until the next batch may go out; 0 or less: now. */
 static gint64
 publish_delay(control_t *c)
 {
@@ -372,8 +381,9 @@
     }
     record_entry(c, request.instance);
     gboolean updated = has_updates(c, &request);
-    /* While endpoints come and go all the time there is always news: one that
-     * was just answered waits for the next batch like the others. */
+    /* While endpoints come and go all the time there are always updates, so
+     * an entry instance that was just answered waits for the next batch,
+     * like the others. */
     gboolean batched = updated && !request.rest && request.epoch == c->epoch &&
                        !has_config_update(c, &request) && publish_delay(c) > 0;
     if ((updated && !batched) || request.wait_ms == 0 || c->draining) {
