--- a/carobloomd/control/endpoint_leases.c
+++ b/carobloomd/control/endpoint_leases.c
@@ -3,12 +3,12 @@
 #include "control_state.h"
 #include "platform.h"
 
-/* Without word from a quorum for so long, or from an entry instance, leases
- * are refused, so that the endpoint goes to an instance that can spread them:
- * a change of leaders takes about as long. */
+/* If no quorum was reachable for this long, or no entry instance is active,
+ * leases are refused, so that the endpoint turns to an instance that can
+ * publish them. An election takes about as long. */
 static const gint64 CONTACT_TIMEOUT_US = 1500 * 1000;
 
-/* Whether what is told here reaches those who route. */
+/* Whether a change that is recorded here reaches the entry instances. */
 static gboolean
 is_connected(const control_t *c)
 {
@@ -32,7 +32,7 @@
     }
 }
 
-/* What is no word of an endpoint names none, and is told so. */
+/* Refuses a malformed heartbeat or leave call. */
 static void
 refuse(http_exchange_t *exchange, str_t id, const char *field)
 {
@@ -48,7 +48,7 @@
     g_free(text);
 }
 
-/* Notes the services of the newest configuration. */
+/* Adds the services of the newest configuration to the known ones. */
 static void
 update_known_services(control_t *c)
 {
@@ -64,9 +64,10 @@
     route_config_unref(config);
 }
 
-/* Whether some configuration named the service; while there is none, any may
- * be named yet. A configuration may have 1,400 routes, and hundreds of them
- * come on a day: it is read only when a name is not known. */
+/* Whether any configuration so far has named the service; always TRUE
+ * before the first configuration. A configuration may have 1,400 routes and
+ * change hundreds of times a day, so it is decoded only for an unknown
+ * name. */
 static gboolean
 is_known_service(control_t *c, const char *service)
 {
@@ -80,20 +81,22 @@
     return g_hash_table_contains(c->known_services, service);
 }
 
-/* What a renewal is answered. One of an earlier start is not taken. One that
- * came late, or after its endpoint left, is: the endpoint's own later word
- * holds, and it has nothing to tell another instance. */
+/* Answers a renewal. An older incarnation is refused. A renewal that
+ * arrives late or after the endpoint left is acknowledged: the endpoint's
+ * later message applies, and retrying with another instance would be
+ * useless. */
 static void
 answer_heartbeat(const control_t *c, http_exchange_t *exchange,
                  registry_result_t result)
 {
     if (result == REGISTRY_OLD_INCARNATION) {
-        answer_plain(exchange, 409, "{\"error\":\"it has started again\"}");
+        answer_plain(exchange, 409,
+                     "{\"error\":\"a newer incarnation is registered\"}");
         return;
     }
-    /* It stays with this instance: if its renewals went to another one each
-     * time, each instance would hear it fall silent and come back, and tell
-     * all entry instances so. */
+    /* The answer keeps the endpoint on this instance. If its renewals
+     * alternated between instances, each would see the endpoint expire and
+     * return, and would publish both to all entry instances. */
     char *answer = platform_heartbeat_answer(c->settings->control);
     answer_plain(exchange, 200, answer);
     g_free(answer);
@@ -111,7 +114,9 @@
     }
     if (!is_connected(c)) {
         heartbeat_clear(&heartbeat);
-        answer_plain(exchange, 503, "{\"error\":\"cut off\"}");
+        answer_plain(
+            exchange, 503,
+            "{\"error\":\"no quorum or no entry instance is reachable\"}");
         return;
     }
     if (!is_known_service(c, heartbeat.service)) {
@@ -151,7 +156,9 @@
 handle_leave(control_t *c, http_exchange_t *exchange, str_t id)
 {
     if (!is_connected(c)) {
-        answer_plain(exchange, 503, "{\"error\":\"cut off\"}");
+        answer_plain(
+            exchange, 503,
+            "{\"error\":\"no quorum or no entry instance is reachable\"}");
         return;
     }
     gint64 started_ms;
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -1,6 +1,6 @@
-/* Requests under way, and the prompt parts that were sent to endpoints: entry
- * instances report theirs here and are told those of all; control instances
- * tell each other what was reported to them. */
+/* Exchange of loads (requests in flight) and of the locations of prompt
+ * parts. Entry instances report theirs here and receive the totals; control
+ * instances send each other what was reported to them. */
 #include "carobloom/common/counters.h"
 #include "carobloom/gateway/load_wire.h"
 #include "carobloom/policy/collector.h"
@@ -8,8 +8,8 @@
 
 enum {
     MS = 1000,
-    /* Sums that did not change are told again after this, so that they are
-     * still counted where they go (collector_report_max_age_ms). */
+    /* Unchanged sums are sent again after this time, before they expire at
+     * the receiver (collector_report_max_age_ms). */
     SUMS_REFRESH_US = 400 * MS,
 };
 
@@ -24,7 +24,8 @@
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    if (c->draining) { /* it reports to another one from now on */
+    if (c->draining) {
+        /* The entry instance reports to another control instance. */
         load_report_clear(&report);
         answer_plain(exchange, 503, "{\"error\":\"ending\"}");
         return;
@@ -67,13 +68,14 @@
     traffic_note_place(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
     if (!accepted) {
-        answer_plain(exchange, 409, "{\"error\":\"its base is not known\"}");
+        answer_plain(exchange, 409,
+                     "{\"error\":\"the base of the changes is unknown\"}");
         return;
     }
     http_exchange_answer(exchange, 204, STR(""), STR(""));
 }
 
-/* ---- sums, told to the other control instances ---- */
+/* ---- sums for the other control instances ---- */
 
 GHashTable *
 load_deltas_create(void)
