--- a/carobloomd/control/crash_reports.c
+++ b/carobloomd/control/crash_reports.c
@@ -1,5 +1,5 @@
-/* Endpoints that ended, as entry instances tell, and the requests that are
- * held back for it. */
+/* Endpoints that ended, as reported by entry instances, and the quarantine
+ * of requests that are suspected to crash endpoints. */
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
 #include "carobloom/gateway/crash_wire.h"
@@ -8,15 +8,16 @@
 
 enum {
     MS = 1000,
-    /* Between two writes of what is held: two syncs of the disk each, of 5 ms,
-     * in the task that waits for it. */
+    /* Minimum time between two saves of the quarantine orders. A save syncs
+     * the disk twice, 5 ms each, in the log's task, which blocks on the
+     * disk. */
     SAVE_INTERVAL_US = 1000 * MS,
-    /* Written anew although nothing changed: what is left of the times, and a
-     * write that failed. */
+    /* Unchanged orders are saved again after this time, to update their
+     * remaining times and to retry a failed write. */
     SAVE_MAX_INTERVAL_US = 30000 * MS,
 };
 
-/* Logs and spreads orders that are new. */
+/* Logs and publishes new quarantine orders. */
 static void
 publish_orders(control_t *c)
 {
@@ -37,18 +38,18 @@
     control_publish_updates(c);
 }
 
-/* Has what is held written to the disk, so that it is known after the loss of
+/* Saves the quarantine orders to the disk, so that they survive the loss of
  * all processes. */
 static void
 save_orders(control_t *c)
 {
     gint64 now = control_now(c);
     gint64 since_us = now - c->orders_saved_us;
-    guint held = crash_ledger_quarantined(c->crashes);
+    guint quarantined = crash_ledger_quarantined(c->crashes);
     gboolean changed =
         c->orders_saved_cursor != crash_ledger_cursor(c->crashes);
     if (since_us < SAVE_INTERVAL_US ||
-        (!changed && (held == 0 || since_us < SAVE_MAX_INTERVAL_US))) {
+        (!changed && (quarantined == 0 || since_us < SAVE_MAX_INTERVAL_US))) {
         return;
     }
     guint64 cursor = 0;
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -1,5 +1,5 @@
-/* Limits that endpoints name: what entry instances request for and tell,
- * granted and told to all. */
+/* Endpoints' rate limits: answers the grant requests and reports of entry
+ * instances, and publishes the limits to all of them. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -9,8 +9,8 @@
 #include "carobloom/policy/rendezvous.h"
 #include "control_state.h"
 
-/* Whether this instance owns_limit the limit of an endpoint, among those that
- * the replicated log names. */
+/* Whether this instance owns the limit of an endpoint: the owner is the
+ * first by rendezvous hashing among the members of the replicated log. */
 static gboolean
 owns_limit(const control_t *c, guint64 endpoint)
 {
@@ -24,7 +24,7 @@
            strcmp(c->view.voters.members[owner].name, c->self) == 0;
 }
 
-/* Logs and spreads limits that began, changed or were lifted. */
+/* Logs and publishes limits that began, changed or were lifted. */
 static void
 publish_limits(control_t *c)
 {
@@ -82,7 +82,8 @@
     }
     if (c->draining || c->view.voters.count == 0) {
         limit_report_clear(&report);
-        answer_plain(exchange, 503, "{\"error\":\"does not own limits\"}");
+        answer_plain(exchange, 503,
+                     "{\"error\":\"this instance owns no limits\"}");
         return;
     }
     limit_requester_t requester = {.name = report.from,
