--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -18,7 +18,7 @@
     /* Configurations kept as bases of differences. A burst of changes has
      * three a second, and an entry instance sends a sync request at least
      * once a second. */
-    TEXTS_MAX = 16,
+    CONFIGS_MAX = 16,
     MAILBOX_BOUND = 10000,
     /* Between two messages with loads to each other control instance: half
      * the interval at which entry instances report. With eight others this
@@ -45,7 +45,7 @@
 }
 
 void
-answer_plain(http_exchange_t *exchange, guint status, const char *text)
+answer_json(http_exchange_t *exchange, guint status, const char *text)
 {
     http_exchange_answer(exchange, status,
                          STR("Content-Type: application/json\r\n"),
@@ -62,7 +62,7 @@
 const committed_config_t *
 control_newest(const control_t *c)
 {
-    return c->texts.tail != NULL ? c->texts.tail->data : NULL;
+    return c->configs.tail != NULL ? c->configs.tail->data : NULL;
 }
 
 guint64
@@ -144,7 +144,7 @@
         handle_config_get(c, exchange);
         break;
     default:
-        answer_plain(exchange, 404, "{\"error\":\"no such call\"}");
+        answer_json(exchange, 404, "{\"error\":\"no such call\"}");
     }
 }
 
@@ -170,7 +170,7 @@
             return;
         }
     }
-    answer_plain(exchange, 404, "{\"error\":\"no such call\"}");
+    answer_json(exchange, 404, "{\"error\":\"no such call\"}");
 }
 
 static void
@@ -212,9 +212,9 @@
     committed_config_t *text = g_new0(committed_config_t, 1);
     *text = (committed_config_t){.version = m->version,
                                  .text = g_bytes_ref(m->text)};
-    g_queue_push_tail(&c->texts, text);
-    while (c->texts.length > TEXTS_MAX) {
-        committed_config_free(g_queue_pop_head(&c->texts));
+    g_queue_push_tail(&c->configs, text);
+    while (c->configs.length > CONFIGS_MAX) {
+        committed_config_free(g_queue_pop_head(&c->configs));
     }
     if (event_log_begin(EVENT_STATE, "config_committed")) {
         event_log_number("version", (gint64)m->version);
@@ -400,7 +400,7 @@
     for (guint i = 0; i < CONTROL_CACHED_DELTAS_MAX; i++) {
         g_clear_pointer(&c->deltas[i].bytes, g_bytes_unref);
     }
-    g_queue_clear_full(&c->texts, committed_config_free);
+    g_queue_clear_full(&c->configs, committed_config_free);
     registry_destroy(c->registry);
     crash_ledger_destroy(c->crashes);
     limit_quota_destroy(c->limits);
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -106,7 +106,7 @@
     config_view_message_t view;
     duties_t *duties; /* NULL: the platform defines none */
     cached_delta_t deltas[CONTROL_CACHED_DELTAS_MAX];
-    GQueue texts;             /* committed_config_t, newest at the tail */
+    GQueue configs;           /* committed_config_t, newest at the tail */
     GHashTable *peers;        /* address -> peer_t */
     GList *pending_syncs;     /* pending_sync_t */
     guint64 publish_timer;    /* next batch of updates; 0: none is scheduled */
@@ -144,7 +144,8 @@
 /* Whether the configuration committed here is certain to be the newest one
  * now. */
 gboolean control_may_read(const control_t *control);
-void answer_plain(http_exchange_t *exchange, guint status, const char *text);
+/* Answers with `text` as a JSON body. */
+void answer_json(http_exchange_t *exchange, guint status, const char *text);
 /* The body that an instance posted. The bytes are valid as long as the
  * exchange's body; release them with g_bytes_unref. */
 GBytes *posted_bytes(http_exchange_t *exchange);
--- a/carobloomd/control/crash_reports.c
+++ b/carobloomd/control/crash_reports.c
@@ -87,7 +87,7 @@
     if (!valid) {
         counter_add(counter_get("crash_reports_refused_total", NULL, FALSE),
                     1);
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     for (guint i = 0; i < report.ends->len; i++) {
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -122,7 +122,7 @@
     gboolean sound = clock_word_read(bytes, &word);
     g_bytes_unref(bytes);
     if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (c->duties != NULL) {
@@ -155,7 +155,7 @@
 {
     duties_t *d = c->duties;
     if (d == NULL || d->lease.token == 0) {
-        answer_plain(exchange, 503, "{\"error\":\"not the holder\"}");
+        answer_json(exchange, 503, "{\"error\":\"not the holder\"}");
         return;
     }
     usage_report_t report;
@@ -163,7 +163,7 @@
     gboolean sound = usage_report_read(bytes, &report);
     g_bytes_unref(bytes);
     if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (d->usage != NULL) {
--- a/carobloomd/control/endpoint_leases.c
+++ b/carobloomd/control/endpoint_leases.c
@@ -44,7 +44,7 @@
     }
     char *text = g_strdup_printf("{\"error\":\"malformed\",\"field\":\"%s\"}",
                                  field != NULL ? field : "");
-    answer_plain(exchange, 400, text);
+    answer_json(exchange, 400, text);
     g_free(text);
 }
 
@@ -90,15 +90,15 @@
                  registry_result_t result)
 {
     if (result == REGISTRY_OLD_INCARNATION) {
-        answer_plain(exchange, 409,
-                     "{\"error\":\"a newer incarnation is registered\"}");
+        answer_json(exchange, 409,
+                    "{\"error\":\"a newer incarnation is registered\"}");
         return;
     }
     /* The answer keeps the endpoint on this instance. If its renewals
      * alternated between instances, each would see the endpoint expire and
      * return, and would publish both to all entry instances. */
     char *answer = platform_heartbeat_answer(c->settings->control);
-    answer_plain(exchange, 200, answer);
+    answer_json(exchange, 200, answer);
     g_free(answer);
 }
 
@@ -114,7 +114,7 @@
     }
     if (!is_connected(c)) {
         heartbeat_clear(&heartbeat);
-        answer_plain(
+        answer_json(
             exchange, 503,
             "{\"error\":\"no quorum or no entry instance is reachable\"}");
         return;
@@ -156,7 +156,7 @@
 handle_leave(control_t *c, http_exchange_t *exchange, str_t id)
 {
     if (!is_connected(c)) {
-        answer_plain(
+        answer_json(
             exchange, 503,
             "{\"error\":\"no quorum or no entry instance is reachable\"}");
         return;
@@ -172,6 +172,6 @@
                    control_now(c));
     log_lease(name, NULL, "left");
     g_free(name);
-    answer_plain(exchange, 200, "{}");
+    answer_json(exchange, 200, "{}");
     control_publish_updates(c);
 }
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -51,7 +51,7 @@
 static const committed_config_t *
 config_find(const control_t *c, guint64 version)
 {
-    for (GList *l = c->texts.tail; l != NULL; l = l->prev) {
+    for (GList *l = c->configs.tail; l != NULL; l = l->prev) {
         if (((committed_config_t *)l->data)->version == version) {
             return l->data;
         }
@@ -376,7 +376,7 @@
     gboolean valid = sync_request_read(bytes, &request);
     g_bytes_unref(bytes);
     if (!valid) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     record_entry(c, request.instance);
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -77,13 +77,13 @@
     gboolean valid = limit_report_read(bytes, &report);
     g_bytes_unref(bytes);
     if (!valid) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (c->draining || c->view.voters.count == 0) {
         limit_report_clear(&report);
-        answer_plain(exchange, 503,
-                     "{\"error\":\"this instance owns no limits\"}");
+        answer_json(exchange, 503,
+                    "{\"error\":\"this instance owns no limits\"}");
         return;
     }
     limit_requester_t requester = {.name = report.from,
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -21,13 +21,13 @@
     gboolean valid = load_report_read(bytes, &report);
     g_bytes_unref(bytes);
     if (!valid) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (c->draining) {
         /* The entry instance reports to another control instance. */
         load_report_clear(&report);
-        answer_plain(exchange, 503, "{\"error\":\"ending\"}");
+        answer_json(exchange, 503, "{\"error\":\"ending\"}");
         return;
     }
     gint64 now = control_now(c);
@@ -58,7 +58,7 @@
     gboolean valid = load_sums_read(bytes, &sums);
     g_bytes_unref(bytes);
     if (!valid) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     gboolean accepted =
@@ -68,8 +68,8 @@
     traffic_note_place(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
     if (!accepted) {
-        answer_plain(exchange, 409,
-                     "{\"error\":\"the base of the changes is unknown\"}");
+        answer_json(exchange, 409,
+                    "{\"error\":\"the base of the changes is unknown\"}");
         return;
     }
     http_exchange_answer(exchange, 204, STR(""), STR(""));
--- a/carobloomd/control/operator_calls.c
+++ b/carobloomd/control/operator_calls.c
@@ -59,7 +59,7 @@
         TASK_OK) {
         http_exchange_set_data(exchange, NULL);
         g_hash_table_remove(c->pending_puts, &put->call);
-        answer_plain(exchange, 503, "{\"error\":\"the log is busy\"}");
+        answer_json(exchange, 503, "{\"error\":\"the log is busy\"}");
     }
 }
 
@@ -73,7 +73,7 @@
         log_put(c, 0, fault);
         json_t *error = json_pack("{s:s}", "error", fault);
         char *text = json_dumps(error, JSON_COMPACT);
-        answer_plain(exchange, 400, text);
+        answer_json(exchange, 400, text);
         free(text);
         json_decref(error);
         g_free(fault);
@@ -87,7 +87,7 @@
     }
     if (control_newest(c) != NULL && version <= control_newest_version(c)) {
         log_put(c, version, "not newer, acknowledged");
-        answer_plain(exchange, 200, "{}");
+        answer_json(exchange, 200, "{}");
         return;
     }
     propose(c, exchange, version, body);
@@ -103,7 +103,7 @@
     log_put(c, put->version, m->durable ? "durable" : "not known");
     if (put->exchange != NULL) {
         http_exchange_set_data(put->exchange, NULL);
-        answer_plain(put->exchange, m->durable ? 200 : 503, "{}");
+        answer_json(put->exchange, m->durable ? 200 : 503, "{}");
     }
     g_hash_table_remove(c->pending_puts, &m->call);
 }
@@ -117,7 +117,7 @@
         return;
     }
     if (text == NULL) {
-        answer_plain(exchange, 503, "{\"error\":\"no configuration yet\"}");
+        answer_json(exchange, 503, "{\"error\":\"no configuration yet\"}");
         return;
     }
     http_exchange_answer(exchange, 200,
