--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -10,50 +10,50 @@
 enum {
     MS = 1000,
     /* Between two plans of a service. */
-    PLAN_US = 200 * MS,
+    PLAN_INTERVAL_US = 200 * MS,
     /* Reports that a supply is the highest of: entry instances that have just
      * started, or are cut off, know fewer engines. */
-    SUPPLY_REPORTS = 8,
+    SUPPLY_WINDOW_REPORTS = 8,
     /* A plan that wants more is ordered at once; fewer only this long after
      * the last order for more. */
-    CALM_US = 6 * G_USEC_PER_SEC,
+    SHRINK_DELAY_US = 6 * G_USEC_PER_SEC,
     /* Between two orders of one kind at one place, so that a need that climbs
      * makes a few calls and not one each step. */
-    ORDER_US = 400 * MS,
+    ORDER_INTERVAL_US = 400 * MS,
     /* What does not come up so long after it should, or leaves, is ordered
      * again: the platform forgets what it could not have. */
-    AGAIN_US = 2500 * MS,
+    REORDER_DELAY_US = 2500 * MS,
     /* After the platform said that it has none. */
-    LACKING_US = 1500 * MS,
+    UNAVAILABLE_RETRY_US = 1500 * MS,
     /* This instance knows what stands only once some reports came. */
-    KNOWN_REPORTS = 3 * SUPPLY_REPORTS,
+    REPORTS_MIN = 3 * SUPPLY_WINDOW_REPORTS,
     /* Each engine that comes or goes is told to every entry instance: beyond
      * so many engines times entry instances, an exchange of all of them fills
      * the control instances' links and nothing is ordered. */
-    TELLINGS_MOST = 200000,
+    ENDPOINT_UPDATES_MAX = 200000,
 };
 
 /* Fewer are ordered only when so much less is wanted: each move costs the
  * parts of prompts that the engines keep. */
-static const double SHRINK_PART = 0.85;
+static const double SHRINK_MAX_FRACTION = 0.85;
 
 /* One order under way. */
 typedef struct service_plan service_plan_t;
 typedef struct {
     service_plan_t *service;
-    const char *place; /* the place's own name */
+    const char *data_centre; /* the place's own name */
     supply_kind_t kind;
     guint count;
 } order_t;
 
 /* A place with what its orders need. */
 typedef struct {
-    gint64 ordered_us[ENGINES_KINDS]; /* when the last order was taken */
-    gint64 asked_us[ENGINES_KINDS];   /* when one was last sent */
-    order_t *under_way[ENGINES_KINDS];
-    guint told[SUPPLY_REPORTS][ENGINES_KINDS];
-    guint next_told;
-} place_state_t;
+    gint64 accepted_us[ENGINES_KINDS]; /* when the last order was taken */
+    gint64 sent_us[ENGINES_KINDS];     /* when one was last sent */
+    order_t *in_flight[ENGINES_KINDS];
+    guint reported[SUPPLY_WINDOW_REPORTS][ENGINES_KINDS];
+    guint next_report;
+} data_centre_state_t;
 
 struct service_plan {
     capacity_duty_t *duty;
@@ -62,15 +62,15 @@
     capacity_bounds_t bounds;
     gint64 boot_us;
     guint slots;
-    capacity_data_centre_t *places; /* sorted by the plan */
-    GHashTable *states;             /* place -> place_state_t */
+    capacity_data_centre_t *data_centres; /* sorted by the plan */
+    GHashTable *states;                   /* place -> data_centre_state_t */
     guint count;
-    gint64 grew_us;   /* the last order for more */
-    gint64 lacked_us; /* a place had none to give last: what is given back then
-                       * can not be had again */
-    gint64 first_us;  /* when engines were first heard of */
-    gint64 stands_us; /* since when as many stand as now */
-    guint standing;
+    gint64 increased_us;   /* the last order for more */
+    gint64 unavailable_us; /* a place had none to give last: what is given back
+                            * then can not be had again */
+    gint64 first_ready_us; /* when engines were first heard of */
+    gint64 ready_since_us; /* since when as many stand as now */
+    guint ready_engines;
     gboolean settled;
     gboolean too_large; /* as was logged */
 };
@@ -91,33 +91,33 @@
 {
     service_plan_t *s = data;
     for (guint i = 0; i < s->count; i++) {
-        g_free(s->places[i].name);
+        g_free(s->data_centres[i].name);
     }
-    g_free(s->places);
+    g_free(s->data_centres);
     g_hash_table_unref(s->states);
     g_free(s->service);
     g_free(s);
 }
 
-static place_state_t *
-state_of(const service_plan_t *s, const char *place)
+static data_centre_state_t *
+state_find(const service_plan_t *s, const char *data_centre)
 {
-    return g_hash_table_lookup(s->states, place);
+    return g_hash_table_lookup(s->states, data_centre);
 }
 
 static void
-places_fill(service_plan_t *s, const engine_offer_t *offer)
+data_centres_fill(service_plan_t *s, const engine_offer_t *offer)
 {
     s->count = offer->places->len;
-    s->places = g_new0(capacity_data_centre_t, s->count);
+    s->data_centres = g_new0(capacity_data_centre_t, s->count);
     s->states = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     for (guint i = 0; i < s->count; i++) {
-        const engine_place_t *place =
+        const engine_place_t *offered =
             &g_array_index(offer->places, engine_place_t, i);
-        s->places[i] = (capacity_data_centre_t){
-            .name = g_strdup(place->data_centre), .price = place->price};
-        g_hash_table_insert(s->states, g_strdup(place->data_centre),
-                            g_new0(place_state_t, 1));
+        s->data_centres[i] = (capacity_data_centre_t){
+            .name = g_strdup(offered->data_centre), .price = offered->price};
+        g_hash_table_insert(s->states, g_strdup(offered->data_centre),
+                            g_new0(data_centre_state_t, 1));
     }
 }
 
@@ -137,8 +137,8 @@
 }
 
 static void
-service_take(capacity_duty_t *c, const service_t *service,
-             const capacity_estimator_t *way)
+service_apply(capacity_duty_t *c, const service_t *service,
+              const capacity_estimator_t *estimator)
 {
     const gateway_settings_t *settings = c->duties->control->settings;
     service_plan_t *s = g_hash_table_lookup(c->services, service->name);
@@ -146,8 +146,8 @@
         s = g_new0(service_plan_t, 1);
         s->duty = c;
         s->service = g_strdup(service->name);
-        capacity_plan_init(&s->plan, way);
-        places_fill(s, &service->offer);
+        capacity_plan_init(&s->plan, estimator);
+        data_centres_fill(s, &service->offer);
         g_hash_table_insert(c->services, s->service, s);
     }
     s->slots = service->slots;
@@ -158,12 +158,12 @@
  * no longer names, or names with other places, keeps what was ordered: its
  * plan is made anew by the next holder. */
 static void
-config_follow(capacity_duty_t *c)
+config_refresh(capacity_duty_t *c)
 {
     const control_t *control = c->duties->control;
-    const capacity_estimator_t *way =
+    const capacity_estimator_t *estimator =
         capacity_estimator_find(control->settings->capacity);
-    if (control_newest_version(control) <= c->version || way == NULL) {
+    if (control_newest_version(control) <= c->version || estimator == NULL) {
         return;
     }
     c->version = control_newest_version(control);
@@ -174,7 +174,7 @@
     for (guint i = 0; i < config->services->len; i++) {
         const service_t *service = config->services->pdata[i];
         if (service->offer.places != NULL && service->slots > 0) {
-            service_take(c, service, way);
+            service_apply(c, service, estimator);
         }
     }
     route_config_unref(config);
@@ -183,7 +183,7 @@
 /* ---- reports ---- */
 
 void
-capacity_duty_report(capacity_duty_t *c, const usage_report_t *report)
+capacity_duty_record_report(capacity_duty_t *c, const usage_report_t *report)
 {
     gint64 now = clock_boot_us();
     c->reports++;
@@ -196,31 +196,31 @@
         const engine_supply_t *supply =
             &g_array_index(report->supplies, engine_supply_t, i);
         service_plan_t *s = g_hash_table_lookup(c->services, supply->service);
-        place_state_t *state =
-            s != NULL ? state_of(s, supply->data_centre) : NULL;
+        data_centre_state_t *state =
+            s != NULL ? state_find(s, supply->data_centre) : NULL;
         if (state != NULL) {
-            guint at = state->next_told++ % SUPPLY_REPORTS;
-            state->told[at][ENGINES_ON_DEMAND] = supply->on_demand;
-            state->told[at][ENGINES_RECLAIMABLE] = supply->reclaimable;
+            guint at = state->next_report++ % SUPPLY_WINDOW_REPORTS;
+            state->reported[at][ENGINES_ON_DEMAND] = supply->on_demand;
+            state->reported[at][ENGINES_RECLAIMABLE] = supply->reclaimable;
         }
     }
 }
 
 static void
-supply_follow(service_plan_t *s)
+supply_refresh(service_plan_t *s)
 {
     for (guint i = 0; i < s->count; i++) {
-        capacity_data_centre_t *place = &s->places[i];
-        const place_state_t *state = state_of(s, place->name);
+        capacity_data_centre_t *data_centre = &s->data_centres[i];
+        const data_centre_state_t *state = state_find(s, data_centre->name);
         for (int kind = 0; kind < ENGINES_KINDS; kind++) {
             guint ready = 0;
-            for (guint at = 0; at < SUPPLY_REPORTS; at++) {
-                ready = MAX(ready, state->told[at][kind]);
+            for (guint at = 0; at < SUPPLY_WINDOW_REPORTS; at++) {
+                ready = MAX(ready, state->reported[at][kind]);
             }
-            place->ready[kind] = ready;
+            data_centre->ready[kind] = ready;
             /* What stood there before this instance ordered any. */
-            if (state->ordered_us[kind] == 0) {
-                place->ordered[kind] = ready;
+            if (state->accepted_us[kind] == 0) {
+                data_centre->ordered[kind] = ready;
             }
         }
     }
@@ -236,7 +236,7 @@
         return;
     }
     event_log_cstr("service", s->service);
-    event_log_cstr("data_centre", o->place);
+    event_log_cstr("data_centre", o->data_centre);
     event_log_cstr("kind",
                    o->kind == ENGINES_RECLAIMABLE ? "reclaimable" : "kept");
     event_log_number("count", o->count);
@@ -250,11 +250,11 @@
 }
 
 static capacity_data_centre_t *
-place_find(service_plan_t *s, const char *name)
+data_centre_find(service_plan_t *s, const char *name)
 {
     for (guint i = 0; i < s->count; i++) {
-        if (strcmp(s->places[i].name, name) == 0) {
-            return &s->places[i];
+        if (strcmp(s->data_centres[i].name, name) == 0) {
+            return &s->data_centres[i];
         }
     }
     return NULL;
@@ -265,23 +265,23 @@
 {
     order_t *o = user;
     service_plan_t *s = o->service;
-    capacity_data_centre_t *place = place_find(s, o->place);
-    place_state_t *state = state_of(s, o->place);
+    capacity_data_centre_t *data_centre = data_centre_find(s, o->data_centre);
+    data_centre_state_t *state = state_find(s, o->data_centre);
     gint64 now = clock_boot_us();
-    state->under_way[o->kind] = NULL;
+    state->in_flight[o->kind] = NULL;
     if (status == 200) {
-        place->ordered[o->kind] = o->count;
-        state->ordered_us[o->kind] = now;
+        data_centre->ordered[o->kind] = o->count;
+        state->accepted_us[o->kind] = now;
         log_order(o, "engines_ordered", status);
     }
     else {
         if (status == 409) {
             /* What was ordered before is not to be had either, so that it is
              * asked for again soon, and others may take its room. */
-            place->ordered[o->kind] =
-                MIN(place->ordered[o->kind], place->ready[o->kind]);
-            place->unavailable_until_us = now + LACKING_US;
-            s->lacked_us = now;
+            data_centre->ordered[o->kind] = MIN(data_centre->ordered[o->kind],
+                                                data_centre->ready[o->kind]);
+            data_centre->unavailable_until_us = now + UNAVAILABLE_RETRY_US;
+            s->unavailable_us = now;
         }
         counter_add(counter_get("engine_orders_refused_total", NULL, FALSE),
                     1);
@@ -296,7 +296,7 @@
     const order_t *o = what;
     engine_order_t order = {
         .service = o->service->service,
-        .data_centre = o->place,
+        .data_centre = o->data_centre,
         .count = o->count,
         .reclaimable = o->kind == ENGINES_RECLAIMABLE,
     };
@@ -304,66 +304,70 @@
 }
 
 static void
-order_send(service_plan_t *s, const capacity_data_centre_t *place,
+order_send(service_plan_t *s, const capacity_data_centre_t *data_centre,
            supply_kind_t kind, guint count, gint64 now)
 {
-    place_state_t *state = state_of(s, place->name);
+    data_centre_state_t *state = state_find(s, data_centre->name);
     order_t *o = g_new0(order_t, 1);
-    *o = (order_t){
-        .service = s, .place = place->name, .kind = kind, .count = count};
-    state->asked_us[kind] = now;
-    state->under_way[kind] = o;
+    *o = (order_t){.service = s,
+                   .data_centre = data_centre->name,
+                   .kind = kind,
+                   .count = count};
+    state->sent_us[kind] = now;
+    state->in_flight[kind] = o;
     if (!duties_send(s->duty->duties, encode_order, o, on_ordered, o)) {
-        state->under_way[kind] = NULL;
+        state->in_flight[kind] = NULL;
         g_free(o);
     }
 }
 
 /* Whether an order that was taken brought nothing for too long. */
 static gboolean
-is_overdue(const service_plan_t *s, const capacity_data_centre_t *place,
+is_overdue(const service_plan_t *s, const capacity_data_centre_t *data_centre,
            supply_kind_t kind, gint64 now)
 {
-    const place_state_t *state = state_of(s, place->name);
-    gint64 since = MAX(state->ordered_us[kind], state->asked_us[kind]);
-    return place->ready[kind] < place->ordered[kind] &&
-           now - since > s->boot_us + AGAIN_US;
+    const data_centre_state_t *state = state_find(s, data_centre->name);
+    gint64 since = MAX(state->accepted_us[kind], state->sent_us[kind]);
+    return data_centre->ready[kind] < data_centre->ordered[kind] &&
+           now - since > s->boot_us + REORDER_DELAY_US;
 }
 
 static gboolean
-is_worth_it(const service_plan_t *s, const capacity_data_centre_t *place,
-            supply_kind_t kind, guint count, gint64 now)
+should_order(const service_plan_t *s,
+             const capacity_data_centre_t *data_centre, supply_kind_t kind,
+             guint count, gint64 now)
 {
-    guint ordered = place->ordered[kind];
+    guint ordered = data_centre->ordered[kind];
     if (count >= ordered) {
-        return count > ordered || is_overdue(s, place, kind, now);
+        return count > ordered || is_overdue(s, data_centre, kind, now);
     }
     if (kind == ENGINES_ON_DEMAND) {
         /* Replaced by ones that cost less, or no longer wanted. */
-        return now - s->grew_us > CALM_US || place->idle ||
-               place->ready[ENGINES_RECLAIMABLE] > 0;
+        return now - s->increased_us > SHRINK_DELAY_US || data_centre->idle ||
+               data_centre->ready[ENGINES_RECLAIMABLE] > 0;
     }
-    return now - MAX(s->grew_us, s->lacked_us) > CALM_US &&
-           count <= SHRINK_PART * ordered;
+    return now - MAX(s->increased_us, s->unavailable_us) > SHRINK_DELAY_US &&
+           count <= SHRINK_MAX_FRACTION * ordered;
 }
 
 static void
-order_place(service_plan_t *s, capacity_data_centre_t *place,
-            supply_kind_t kind, gint64 now)
+order_update(service_plan_t *s, capacity_data_centre_t *data_centre,
+             supply_kind_t kind, gint64 now)
 {
-    const place_state_t *state = state_of(s, place->name);
+    const data_centre_state_t *state = state_find(s, data_centre->name);
     guint count =
-        capacity_next_order(place, kind, s->bounds.max_per_data_centre);
-    if (state->under_way[kind] != NULL ||
-        now - state->asked_us[kind] < ORDER_US ||
-        (kind == ENGINES_RECLAIMABLE && now < place->unavailable_until_us) ||
-        !is_worth_it(s, place, kind, count, now)) {
+        capacity_next_order(data_centre, kind, s->bounds.max_per_data_centre);
+    if (state->in_flight[kind] != NULL ||
+        now - state->sent_us[kind] < ORDER_INTERVAL_US ||
+        (kind == ENGINES_RECLAIMABLE &&
+         now < data_centre->unavailable_until_us) ||
+        !should_order(s, data_centre, kind, count, now)) {
         return;
     }
-    if (count > place->ordered[kind]) {
-        s->grew_us = now;
+    if (count > data_centre->ordered[kind]) {
+        s->increased_us = now;
     }
-    order_send(s, place, kind, count, now);
+    order_send(s, data_centre, kind, count, now);
 }
 
 /* Whether what stands is known: all endpoints have renewed their leases since
@@ -373,26 +377,26 @@
 static gboolean
 is_settled(service_plan_t *s, gint64 now)
 {
-    enum { INTERVALS_MOST = 2 };
+    enum { INTERVALS_MAX = 2 };
     const gateway_settings_t *settings = s->duty->duties->control->settings;
     gint64 interval_us = (gint64)(settings->heartbeat_ms * MS);
-    guint standing = 0;
+    guint ready_engines = 0;
     for (guint i = 0; i < s->count; i++) {
-        standing += s->places[i].ready[ENGINES_ON_DEMAND] +
-                    s->places[i].ready[ENGINES_RECLAIMABLE];
+        ready_engines += s->data_centres[i].ready[ENGINES_ON_DEMAND] +
+                         s->data_centres[i].ready[ENGINES_RECLAIMABLE];
     }
-    if (s->settled || standing == 0) {
+    if (s->settled || ready_engines == 0) {
         return s->settled;
     }
-    if (s->first_us == 0) {
-        s->first_us = now;
+    if (s->first_ready_us == 0) {
+        s->first_ready_us = now;
     }
-    if (standing != s->standing) {
-        s->standing = standing;
-        s->stands_us = now;
+    if (ready_engines != s->ready_engines) {
+        s->ready_engines = ready_engines;
+        s->ready_since_us = now;
     }
-    s->settled = now - s->stands_us > interval_us ||
-                 now - s->first_us > INTERVALS_MOST * interval_us;
+    s->settled = now - s->ready_since_us > interval_us ||
+                 now - s->first_ready_us > INTERVALS_MAX * interval_us;
     return s->settled;
 }
 
@@ -400,16 +404,16 @@
 static gboolean
 is_too_large(service_plan_t *s)
 {
-    guint64 tellings =
-        (guint64)s->standing * entries_fresh(s->duty->duties->control);
-    if (tellings > TELLINGS_MOST && !s->too_large &&
+    guint64 updates =
+        (guint64)s->ready_engines * entries_fresh(s->duty->duties->control);
+    if (updates > ENDPOINT_UPDATES_MAX && !s->too_large &&
         event_log_begin(EVENT_STATE, "engines_not_planned")) {
         event_log_cstr("service", s->service);
-        event_log_number("engines", s->standing);
-        event_log_number("tellings", (gint64)tellings);
+        event_log_number("engines", s->ready_engines);
+        event_log_number("tellings", (gint64)updates);
         event_log_end();
     }
-    s->too_large = tellings > TELLINGS_MOST;
+    s->too_large = updates > ENDPOINT_UPDATES_MAX;
     return s->too_large;
 }
 
@@ -418,15 +422,15 @@
 {
     service_demand_t demand =
         capacity_demand_sum(s->duty->demand, s->service, now);
-    supply_follow(s);
+    supply_refresh(s);
     if (!is_settled(s, now) || is_too_large(s)) {
         return;
     }
-    capacity_plan_update(&s->plan, &s->bounds, &demand, s->slots, s->places,
-                         s->count, now);
+    capacity_plan_update(&s->plan, &s->bounds, &demand, s->slots,
+                         s->data_centres, s->count, now);
     for (guint i = 0; i < s->count; i++) {
-        order_place(s, &s->places[i], ENGINES_RECLAIMABLE, now);
-        order_place(s, &s->places[i], ENGINES_ON_DEMAND, now);
+        order_update(s, &s->data_centres[i], ENGINES_RECLAIMABLE, now);
+        order_update(s, &s->data_centres[i], ENGINES_ON_DEMAND, now);
     }
 }
 
@@ -434,13 +438,13 @@
 capacity_duty_step(capacity_duty_t *c)
 {
     gint64 now = clock_boot_us();
-    if (now - c->planned_us < PLAN_US) {
+    if (now - c->planned_us < PLAN_INTERVAL_US) {
         return;
     }
     c->planned_us = now;
-    config_follow(c);
+    config_refresh(c);
     capacity_demand_expire(c->demand, now);
-    if (c->reports < KNOWN_REPORTS) {
+    if (c->reports < REPORTS_MIN) {
         return;
     }
     GHashTableIter iter;
@@ -475,18 +479,18 @@
 /* What an earlier holder ordered is learned from what stands; its calls have
  * ended, and so have this instance's own. */
 void
-capacity_duty_begin(capacity_duty_t *c)
+capacity_duty_start_term(capacity_duty_t *c)
 {
     g_hash_table_remove_all(c->services);
     c->version = 0;
     c->reports = 0;
-    config_follow(c);
+    config_refresh(c);
 }
 
 /* ---- for people ---- */
 
 static json_t *
-place_json(const capacity_data_centre_t *p, gint64 now)
+data_centre_json(const capacity_data_centre_t *p, gint64 now)
 {
     return json_pack(
         "{s:s,s:f,s:i,s:i,s:i,s:i,s:i,s:i,s:b}", "data_centre", p->name,
@@ -505,9 +509,10 @@
     gint64 now = clock_boot_us();
     service_demand_t demand =
         capacity_demand_sum(s->duty->demand, s->service, now);
-    json_t *places = json_array();
+    json_t *data_centres = json_array();
     for (guint i = 0; i < s->count; i++) {
-        json_array_append_new(places, place_json(&s->places[i], now));
+        json_array_append_new(data_centres,
+                              data_centre_json(&s->data_centres[i], now));
     }
     return json_pack("{s:s,s:s,s:i,s:f,s:f,s:f,s:f,s:f,s:f,s:o}", "service",
                      s->service, "way", s->plan.estimator->name, "planned",
@@ -515,7 +520,7 @@
                      s->plan.peak, "running", demand.running,
                      "arrive_a_second", demand.arrived, "turned_away_a_second",
                      demand.turned_away, "tokens_read_a_second",
-                     demand.read_tokens, "places", places);
+                     demand.read_tokens, "places", data_centres);
 }
 
 char *
--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -128,7 +128,7 @@
 {
     control_t *c = user;
     str_t id = {0};
-    switch (platform_call_of(http_exchange_head(exchange), &id)) {
+    switch (platform_call_decode(http_exchange_head(exchange), &id)) {
     case PLATFORM_CALL_HEARTBEAT:
         handle_heartbeat(c, exchange, id);
         break;
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -7,16 +7,16 @@
 enum {
     MS = 1000,
     /* Between two looks at what is due. */
-    STEP_US = 100 * MS,
+    STEP_INTERVAL_US = 100 * MS,
     /* Between two words about the time of day to each other control instance:
      * clocks drift by microseconds in that time, and one that was set is
      * known as such a second later. */
-    CLOCK_US = 500 * MS,
+    CLOCK_REPORT_INTERVAL_US = 500 * MS,
     /* Between two reports of an entry instance: what it counted in that time
      * is lost with it, a sixteenth of its part of a window of 4 s. */
-    ASK_LEAST_MS = 250,
+    REPORT_INTERVAL_MIN_MS = 250,
     /* A report takes some 0.06 ms, so that all take 1.5% of a core at most. */
-    ASK_MS_AN_ENTRY = 4,
+    REPORT_INTERVAL_MS_PER_ENTRY = 4,
 };
 
 /* ---- the lease ---- */
@@ -35,7 +35,7 @@
         event_log_number("acts_in_ms", (d->lease.valid_from_us - now_us) / MS);
     }
     else {
-        event_log_number("held_for_ms", (now_us - d->since_us) / MS);
+        event_log_number("held_for_ms", (now_us - d->acquired_us) / MS);
     }
     event_log_end();
 }
@@ -43,12 +43,12 @@
 static void
 lease_acquired(duties_t *d, gint64 now_us)
 {
-    d->since_us = now_us;
+    d->acquired_us = now_us;
     if (d->usage != NULL) {
-        usage_duty_begin(d->usage);
+        usage_duty_start_term(d->usage);
     }
     if (d->capacity != NULL) {
-        capacity_duty_begin(d->capacity);
+        capacity_duty_start_term(d->capacity);
     }
 }
 
@@ -74,13 +74,13 @@
 duties_take_view(duties_t *d)
 {
     const config_view_message_t *view = &d->control->view;
-    if (!d->began && (view->term > 0 || view->first_start)) {
-        d->began = TRUE;
+    if (!d->initialized && (view->term > 0 || view->first_start)) {
+        d->initialized = TRUE;
         duty_lease_init(&d->lease,
                         (gint64)(d->control->settings->duty_lease_ms * MS),
                         view->first_start, clock_boot_us());
     }
-    if (d->began) {
+    if (d->initialized) {
         lease_update(d);
     }
 }
@@ -94,16 +94,16 @@
 }
 
 static void
-tell_clock(duties_t *d)
+send_clock(duties_t *d)
 {
     control_t *c = d->control;
     gint64 now = control_now(c);
-    if (now - d->clock_told_us < CLOCK_US) {
+    if (now - d->clock_sent_us < CLOCK_REPORT_INTERVAL_US) {
         return;
     }
-    d->clock_told_us = now;
-    clock_word_t word = {.from = c->self, .wall_us = g_get_real_time()};
-    GBytes *bytes = clock_word_write(&word);
+    d->clock_sent_us = now;
+    clock_word_t message = {.from = c->self, .wall_us = g_get_real_time()};
+    GBytes *bytes = clock_word_write(&message);
     for (guint i = 0; i < c->view.voters.count; i++) {
         const char *name = c->view.voters.members[i].name;
         if (g_strcmp0(name, c->self) != 0) {
@@ -117,19 +117,19 @@
 void
 handle_clock(control_t *c, http_exchange_t *exchange)
 {
-    clock_word_t word;
+    clock_word_t message;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = clock_word_read(bytes, &word);
+    gboolean valid = clock_word_read(bytes, &message);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (c->duties != NULL) {
-        site_clock_record(c->duties->clock, word.from, word.wall_us,
+        site_clock_record(c->duties->clock, message.from, message.wall_us,
                           clock_boot_us());
     }
-    clock_word_clear(&word);
+    clock_word_clear(&message);
     http_exchange_answer(exchange, 204, STR(""), STR(""));
 }
 
@@ -141,9 +141,10 @@
     usage_answer_t answer = {
         .wall_us = duties_wall_us(d),
         .fixed_through =
-            d->usage != NULL ? usage_duty_fixed_through(d->usage) : 0,
+            d->usage != NULL ? usage_duty_finalized_through(d->usage) : 0,
         .ask_ms =
-            MAX(ASK_LEAST_MS, entries_fresh(d->control) * ASK_MS_AN_ENTRY),
+            MAX(REPORT_INTERVAL_MIN_MS,
+                entries_fresh(d->control) * REPORT_INTERVAL_MS_PER_ENTRY),
     };
     GBytes *bytes = usage_answer_write(&answer);
     http_exchange_answer(exchange, 200, STR(""), str_from_bytes(bytes));
@@ -160,17 +161,17 @@
     }
     usage_report_t report;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = usage_report_read(bytes, &report);
+    gboolean valid = usage_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
+    if (!valid) {
         answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (d->usage != NULL) {
-        usage_duty_report(d->usage, &report);
+        usage_duty_record_report(d->usage, &report);
     }
     if (d->capacity != NULL) {
-        capacity_duty_report(d->capacity, &report);
+        capacity_duty_record_report(d->capacity, &report);
     }
     usage_report_clear(&report);
     counter_add(counter_get("usage_reports_total", NULL, FALSE), 1);
@@ -181,22 +182,22 @@
 
 /* Whether the platform takes one more call in this second. */
 static gboolean
-rate_allows(duties_t *d, gint64 now_us)
+rate_limit_admit(duties_t *d, gint64 now_us)
 {
-    if (now_us - d->second_us >= G_USEC_PER_SEC) {
-        d->second_us = now_us;
-        d->calls_made = 0;
+    if (now_us - d->rate_window_us >= G_USEC_PER_SEC) {
+        d->rate_window_us = now_us;
+        d->calls_in_window = 0;
     }
-    if (d->calls_made + 1 > d->control->settings->duty_calls_per_s) {
+    if (d->calls_in_window + 1 > d->control->settings->duty_calls_per_s) {
         return FALSE;
     }
-    d->calls_made++;
+    d->calls_in_window++;
     return TRUE;
 }
 
 gboolean
-duties_send(duties_t *d, duty_encode_t encode, gconstpointer what,
-            duty_answered_t answered, void *user)
+duties_send(duties_t *d, duty_encode_t encode, gconstpointer payload,
+            duty_call_done_t done, void *user)
 {
     const gateway_settings_t *s = d->control->settings;
     duty_stamp_t stamp = {
@@ -204,13 +205,13 @@
         .holder = s->instance,
         .token = duty_lease_token(&d->lease, clock_boot_us()),
     };
-    if (stamp.token == 0 || !rate_allows(d, clock_boot_us())) {
+    if (stamp.token == 0 || !rate_limit_admit(d, clock_boot_us())) {
         return FALSE;
     }
-    GString *bytes = encode(&stamp, what);
+    GString *bytes = encode(&stamp, payload);
     gboolean sent = duty_calls_send(
         d->calls, stamp.token,
-        (str_t){.data = bytes->str, .length = bytes->len}, answered, user);
+        (str_t){.data = bytes->str, .length = bytes->len}, done, user);
     g_string_free(bytes, TRUE);
     return sent;
 }
@@ -231,8 +232,8 @@
 on_step(void *data)
 {
     duties_t *d = data;
-    tell_clock(d);
-    if (!d->began) {
+    send_clock(d);
+    if (!d->initialized) {
         return;
     }
     lease_update(d);
@@ -271,7 +272,8 @@
     d->clock = site_clock_create();
     d->usage = set.usage ? usage_duty_create(d) : NULL;
     d->capacity = set.capacity ? capacity_duty_create(d) : NULL;
-    d->timer = timers_subscribe(c->timers, STEP_US, STEP_US, on_step, d);
+    d->timer = timers_subscribe(c->timers, STEP_INTERVAL_US, STEP_INTERVAL_US,
+                                on_step, d);
     return d;
 }
 
@@ -290,7 +292,7 @@
 duties_take_ledger(duties_t *d, GBytes *bytes)
 {
     if (d->usage != NULL) {
-        usage_duty_take_ledger(d->usage, bytes);
+        usage_duty_set_ledger(d->usage, bytes);
     }
 }
 
@@ -303,7 +305,7 @@
         text,
         "duties %s, token %" G_GUINT64_FORMAT ", since %ld ms, clocks %u\n",
         token != 0 ? "held" : "not held", d->lease.token,
-        (long)(d->lease.token != 0 ? (now - d->since_us) / MS : 0),
+        (long)(d->lease.token != 0 ? (now - d->acquired_us) / MS : 0),
         site_clock_count(d->clock));
 }
 
--- a/carobloomd/control/duty_calls.c
+++ b/carobloomd/control/duty_calls.c
@@ -8,7 +8,7 @@
     MS = 1000,
     /* A platform that is slow takes a second or two; a call that takes longer
      * is made anew, which changes nothing where the first arrived. */
-    ANSWER_US = 4000 * MS,
+    CALL_TIMEOUT_US = 4000 * MS,
 };
 
 static const http_peer_limits_t PLATFORM_LIMITS = {
@@ -24,7 +24,7 @@
     guint64 token;
     guint64 timer;
     guint status;
-    duty_answered_t answered;
+    duty_call_done_t done;
     void *user;
 } duty_call_t;
 
@@ -32,18 +32,18 @@
     timers_t *timers;
     duty_lease_t *lease;
     http_peer_t *peer;
-    GList *under_way; /* duty_call_t */
+    GList *in_flight; /* duty_call_t */
 };
 
 static void
 call_end(duty_call_t *d, guint status)
 {
-    duty_answered_t answered = d->answered;
+    duty_call_done_t done = d->done;
     void *user = d->user;
     timers_cancel(d->calls->timers, d->timer);
-    d->calls->under_way = g_list_remove(d->calls->under_way, d);
+    d->calls->in_flight = g_list_remove(d->calls->in_flight, d);
     g_free(d);
-    answered(user, status);
+    done(user, status);
 }
 
 /* Ends a call whatever became of it. */
@@ -103,7 +103,7 @@
                                            .failed = on_failed};
 
 static void
-on_expired(void *data)
+on_timeout(void *data)
 {
     duty_call_t *d = data;
     d->timer = 0;
@@ -129,7 +129,7 @@
 duty_calls_destroy(duty_calls_t *calls)
 {
     GList *next;
-    for (GList *l = calls->under_way; l != NULL; l = next) {
+    for (GList *l = calls->in_flight; l != NULL; l = next) {
         next = l->next;
         call_drop(l->data);
     }
@@ -139,7 +139,7 @@
 
 gboolean
 duty_calls_send(duty_calls_t *calls, guint64 token, str_t bytes,
-                duty_answered_t answered, void *user)
+                duty_call_done_t done, void *user)
 {
     /* A kept connection takes the bytes within client_call_create. */
     if (duty_lease_authorize_call(calls->lease, clock_boot_us()) != token) {
@@ -147,14 +147,15 @@
     }
     duty_call_t *d = g_new0(duty_call_t, 1);
     *d = (duty_call_t){
-        .calls = calls, .token = token, .answered = answered, .user = user};
+        .calls = calls, .token = token, .done = done, .user = user};
     d->call = client_call_create(calls->peer, bytes, FALSE, &CALL_OPS, d);
     if (d->call == NULL) {
         g_free(d);
         return FALSE;
     }
-    d->timer = timers_subscribe(calls->timers, ANSWER_US, 0, on_expired, d);
-    calls->under_way = g_list_prepend(calls->under_way, d);
+    d->timer =
+        timers_subscribe(calls->timers, CALL_TIMEOUT_US, 0, on_timeout, d);
+    calls->in_flight = g_list_prepend(calls->in_flight, d);
     counter_add(counter_get("duty_calls_total", NULL, FALSE), 1);
     return TRUE;
 }
@@ -164,7 +165,7 @@
 {
     guint64 token = duty_lease_token(calls->lease, clock_boot_us());
     GList *next;
-    for (GList *l = calls->under_way; l != NULL; l = next) {
+    for (GList *l = calls->in_flight; l != NULL; l = next) {
         duty_call_t *d = l->data;
         next = l->next;
         if (d->token != token) {
--- a/carobloomd/control/duty_calls.h
+++ b/carobloomd/control/duty_calls.h
@@ -15,7 +15,7 @@
 typedef struct duty_calls duty_calls_t;
 
 /* How a call ended: the status answered, or 0 for none. */
-typedef void (*duty_answered_t)(void *user, guint status);
+typedef void (*duty_call_done_t)(void *user, guint status);
 
 /* `lease` outlives it. NULL unless `address` is IP:PORT. */
 duty_calls_t *duty_calls_create(poller_t *poller, timers_t *timers,
@@ -25,7 +25,7 @@
 /* Sends `bytes`, which bear `token`. FALSE when it may not, or no connection
  * can be had; `answered` is not called then. */
 gboolean duty_calls_send(duty_calls_t *calls, guint64 token, str_t bytes,
-                         duty_answered_t answered, void *user);
+                         duty_call_done_t done, void *user);
 /* To be called often: ends calls that the lease no longer covers. */
 void duty_calls_check(duty_calls_t *calls);
 
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -10,27 +10,27 @@
     MS = 1000,
     /* A command that did not come back from the log by then is proposed
      * again; a slow disk takes a tenth of a second. */
-    PROPOSE_AGAIN_US = 1000 * MS,
+    PROPOSE_RETRY_US = 1000 * MS,
     /* A call that failed is made again after this, doubled each time. */
-    RETRY_FIRST_US = 200 * MS,
-    RETRY_MOST_US = 2000 * MS,
+    RETRY_MIN_US = 200 * MS,
+    RETRY_MAX_US = 2000 * MS,
 };
 
 struct usage_duty {
     duties_t *duties;
     usage_book_t *book;
-    usage_ledger_t *ledger; /* as the log has it */
-    gint64 proposed_us;     /* when a command was last proposed */
-    guint64 proposed;       /* the window that it fixes */
-    guint64 telling;        /* the window of the call under way; 0: none */
-    guint64 told_through;   /* the platform took those up to here, though the
-                             * log may not know it yet */
+    usage_ledger_t *ledger;   /* as the log has it */
+    gint64 proposed_us;       /* when a command was last proposed */
+    guint64 proposed_window;  /* the window that it fixes */
+    guint64 reporting;        /* the window of the call under way; 0: none */
+    guint64 accepted_through; /* the platform took those up to here, though the
+                               * log may not know it yet */
     gint64 retry_at_us;
     gint64 retry_us;
 };
 
 static usage_schedule_t
-times_of(const usage_duty_t *u)
+schedule_get(const usage_duty_t *u)
 {
     const gateway_settings_t *s = u->duties->control->settings;
     return (usage_schedule_t){
@@ -57,31 +57,31 @@
 }
 
 void
-usage_duty_begin(usage_duty_t *u)
+usage_duty_start_term(usage_duty_t *u)
 {
     usage_book_start_term(u->book, duties_wall_us(u->duties));
-    u->telling = 0;
-    u->told_through = 0;
-    u->proposed = 0;
+    u->reporting = 0;
+    u->accepted_through = 0;
+    u->proposed_window = 0;
     u->retry_at_us = 0;
     u->retry_us = 0;
 }
 
 void
-usage_duty_report(usage_duty_t *u, const usage_report_t *report)
+usage_duty_record_report(usage_duty_t *u, const usage_report_t *report)
 {
     usage_book_record_contact(u->book, report->incarnation,
                               duties_wall_us(u->duties));
     for (guint i = 0; i < report->windows->len; i++) {
         const usage_window_t *w = report->windows->pdata[i];
-        if (w->window > usage_duty_fixed_through(u)) {
+        if (w->window > usage_duty_finalized_through(u)) {
             usage_book_report(u->book, report->incarnation, w);
         }
     }
 }
 
 void
-usage_duty_take_ledger(usage_duty_t *u, GBytes *bytes)
+usage_duty_set_ledger(usage_duty_t *u, GBytes *bytes)
 {
     usage_ledger_t *ledger = usage_ledger_read(bytes);
     if (ledger == NULL) {
@@ -95,7 +95,7 @@
 }
 
 guint64
-usage_duty_fixed_through(const usage_duty_t *u)
+usage_duty_finalized_through(const usage_duty_t *u)
 {
     return usage_ledger_finalized_through(u->ledger);
 }
@@ -124,19 +124,19 @@
 }
 
 static void
-fix_due(usage_duty_t *u)
+finalize_due(usage_duty_t *u)
 {
     gint64 now = clock_boot_us();
-    usage_schedule_t times = times_of(u);
-    usage_window_t *figures =
-        usage_book_next_final(u->book, &times, usage_duty_fixed_through(u),
-                              duties_wall_us(u->duties));
+    usage_schedule_t schedule = schedule_get(u);
+    usage_window_t *figures = usage_book_next_final(
+        u->book, &schedule, usage_duty_finalized_through(u),
+        duties_wall_us(u->duties));
     if (figures == NULL) {
         return;
     }
-    if (figures->window != u->proposed ||
-        now - u->proposed_us > PROPOSE_AGAIN_US) {
-        u->proposed = figures->window;
+    if (figures->window != u->proposed_window ||
+        now - u->proposed_us > PROPOSE_RETRY_US) {
+        u->proposed_window = figures->window;
         u->proposed_us = now;
         log_window("usage_fixed", figures, 0);
         propose(u, usage_fix_command(figures));
@@ -161,51 +161,51 @@
 }
 
 static void
-on_told(void *user, guint status)
+on_reported(void *user, guint status)
 {
     usage_duty_t *u = user;
-    guint64 window = u->telling;
+    guint64 window = u->reporting;
     const usage_window_t *figures = window_find(u, window);
-    u->telling = 0;
+    u->reporting = 0;
     if (figures != NULL) {
         log_window(status == 200 ? "usage_told" : "usage_not_told", figures,
                    status);
     }
     if (status != 200) {
-        u->retry_us = CLAMP(u->retry_us * 2, RETRY_FIRST_US, RETRY_MOST_US);
+        u->retry_us = CLAMP(u->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
         u->retry_at_us = clock_boot_us() + u->retry_us;
         return;
     }
     u->retry_us = 0;
-    u->told_through = window;
+    u->accepted_through = window;
     counter_add(counter_get("usage_windows_told_total", NULL, FALSE), 1);
     propose(u, usage_take_command(window));
 }
 
 static GString *
-encode_usage(const duty_stamp_t *stamp, gconstpointer what)
+encode_usage(const duty_stamp_t *stamp, gconstpointer payload)
 {
-    return platform_usage_encode(stamp, what);
+    return platform_usage_encode(stamp, payload);
 }
 
 static void
-tell_untold(usage_duty_t *u)
+report_pending(usage_duty_t *u)
 {
     const usage_window_t *w =
-        usage_ledger_next_unaccepted(u->ledger, u->told_through);
-    if (w == NULL || u->telling != 0 || clock_boot_us() < u->retry_at_us) {
+        usage_ledger_next_unaccepted(u->ledger, u->accepted_through);
+    if (w == NULL || u->reporting != 0 || clock_boot_us() < u->retry_at_us) {
         return;
     }
-    if (duties_send(u->duties, encode_usage, w, on_told, u)) {
-        u->telling = w->window;
+    if (duties_send(u->duties, encode_usage, w, on_reported, u)) {
+        u->reporting = w->window;
     }
 }
 
 void
 usage_duty_step(usage_duty_t *u)
 {
-    fix_due(u);
-    tell_untold(u);
+    finalize_due(u);
+    report_pending(u);
 }
 
 /* ---- for people ---- */
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -219,7 +219,7 @@
 {
     entry_t *e = user;
     str_t id;
-    gboolean probe = platform_call_of(http_exchange_head(exchange), &id) ==
+    gboolean probe = platform_call_decode(http_exchange_head(exchange), &id) ==
                      PLATFORM_CALL_READY;
     guint status = !probe ? 404 : is_ready(e) ? 200 : 503;
     http_exchange_answer(exchange, status, STR(""), STR(""));
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -39,7 +39,7 @@
         return;
     }
     switch (answer->limit_field) {
-    case LIMIT_FIELD_NAMED:
+    case LIMIT_FIELD_VALID:
         limit_link_named(link, f->endpoint, answer->limit, f->limit_sent_us);
         break;
     case LIMIT_FIELD_MALFORMED:
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -489,11 +489,11 @@
 
 static const limit_case_t LIMIT_CASES[] = {
     {"", LIMIT_FIELD_ABSENT, 0},
-    {"Server-Limit: 3.4\r\n", LIMIT_FIELD_NAMED, 3.4},
-    {"server-limit: 12\r\n", LIMIT_FIELD_NAMED, 12},
-    {"Server-Limit:   0.4  \r\n", LIMIT_FIELD_NAMED, 0.4},
-    {"Server-Limit: 0\r\n", LIMIT_FIELD_NAMED, 0},
-    {"Server-Limit: 999999999999\r\n", LIMIT_FIELD_NAMED, LIMIT_RATE_MAX},
+    {"Server-Limit: 3.4\r\n", LIMIT_FIELD_VALID, 3.4},
+    {"server-limit: 12\r\n", LIMIT_FIELD_VALID, 12},
+    {"Server-Limit:   0.4  \r\n", LIMIT_FIELD_VALID, 0.4},
+    {"Server-Limit: 0\r\n", LIMIT_FIELD_VALID, 0},
+    {"Server-Limit: 999999999999\r\n", LIMIT_FIELD_VALID, LIMIT_RATE_MAX},
     {"Server-Limit:\r\n", LIMIT_FIELD_MALFORMED, 0},
     {"Server-Limit: -1\r\n", LIMIT_FIELD_MALFORMED, 0},
     {"Server-Limit: +1\r\n", LIMIT_FIELD_MALFORMED, 0},
@@ -525,7 +525,7 @@
             printf("%s: %d\n", c->fields, answer.limit_field);
         }
         CU_ASSERT_EQUAL(answer.limit_field, c->field);
-        if (c->field == LIMIT_FIELD_NAMED) {
+        if (c->field == LIMIT_FIELD_VALID) {
             CU_ASSERT(fabs(answer.limit - c->limit) < 1e-9);
         }
         http_reader_clear(&reader);
