--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -1,4 +1,5 @@
-/* Engines: planned from what entry instances tell, and ordered. */
+/* Plans the engines of each service from the reports of entry instances, and
+ * orders them from the platform. */
 #include <string.h>
 
 #include "carobloom/common/clock.h"
@@ -9,47 +10,51 @@
 
 enum {
     MS = 1000,
-    /* Between two plans of a service. */
+    /* Interval between two plans of a service. */
     PLAN_INTERVAL_US = 200 * MS,
-    /* Reports that a supply is the highest of: entry instances that have just
-     * started, or are cut off, know fewer engines. */
+    /* The number of ready engines is the maximum of this many reports: entry
+     * instances that have just started, or are cut off, know fewer engines. */
     SUPPLY_WINDOW_REPORTS = 8,
-    /* A plan that wants more is ordered at once; fewer only this long after
-     * the last order for more. */
+    /* A plan for more engines is ordered at once, a plan for fewer only this
+     * long after the last order for more. */
     SHRINK_DELAY_US = 6 * G_USEC_PER_SEC,
-    /* Between two orders of one kind at one place, so that a need that climbs
-     * makes a few calls and not one each step. */
+    /* Minimum interval between two orders of one kind in a data centre, so
+     * that rising demand causes a few calls rather than one per step. */
     ORDER_INTERVAL_US = 400 * MS,
-    /* What does not come up so long after it should, or leaves, is ordered
-     * again: the platform forgets what it could not have. */
+    /* Engines that are not ready this long after their start time, or that
+     * leave, are ordered again: the platform forgets orders that it could not
+     * fulfil. */
     REORDER_DELAY_US = 2500 * MS,
-    /* After the platform said that it has none. */
+    /* Delay of reclaimable orders after the platform had no engines. */
     UNAVAILABLE_RETRY_US = 1500 * MS,
-    /* This instance knows what stands only once some reports came. */
+    /* Reports needed before the number of ready engines is known. */
     REPORTS_MIN = 3 * SUPPLY_WINDOW_REPORTS,
-    /* Each engine that comes or goes is told to every entry instance: beyond
-     * so many engines times entry instances, an exchange of all of them fills
-     * the control instances' links and nothing is ordered. */
+    /* Maximum number of engines times entry instances. Every entry instance is
+     * notified of each engine that joins or leaves. Above this number,
+     * replacing all engines would saturate the links of the control instances,
+     * so nothing is ordered. */
     ENDPOINT_UPDATES_MAX = 200000,
 };
 
-/* Fewer are ordered only when so much less is wanted: each move costs the
- * parts of prompts that the engines keep. */
+/* Fewer reclaimable engines are ordered only if the plan is at most this
+ * fraction of the last order: each change loses the prompt parts that engines
+ * have cached. */
 static const double SHRINK_MAX_FRACTION = 0.85;
 
-/* One order under way. */
+/* An order in flight. */
 typedef struct service_plan service_plan_t;
 typedef struct {
     service_plan_t *service;
-    const char *data_centre; /* the place's own name */
+    const char *data_centre; /* owned by the data centre's entry in the plan */
     supply_kind_t kind;
     guint count;
 } order_t;
 
-/* A place with what its orders need. */
+/* State of the orders of one data centre. */
 typedef struct {
-    gint64 accepted_us[ENGINES_KINDS]; /* when the last order was taken */
-    gint64 sent_us[ENGINES_KINDS];     /* when one was last sent */
+    gint64 accepted_us[ENGINES_KINDS]; /* when the platform last accepted an
+                                        * order */
+    gint64 sent_us[ENGINES_KINDS];     /* when an order was last sent */
     order_t *in_flight[ENGINES_KINDS];
     guint reported[SUPPLY_WINDOW_REPORTS][ENGINES_KINDS];
     guint next_report;
@@ -63,23 +68,24 @@
     gint64 boot_us;
     guint slots;
     capacity_data_centre_t *data_centres; /* sorted by the plan */
-    GHashTable *states;                   /* place -> data_centre_state_t */
+    GHashTable *states; /* data centre -> data_centre_state_t */
     guint count;
-    gint64 increased_us;   /* the last order for more */
-    gint64 unavailable_us; /* a place had none to give last: what is given back
-                            * then can not be had again */
-    gint64 first_ready_us; /* when engines were first heard of */
-    gint64 ready_since_us; /* since when as many stand as now */
+    gint64 increased_us;   /* time of the last order for more */
+    gint64 unavailable_us; /* last time a data centre had no engines available;
+                            * engines that are released then cannot be ordered
+                            * again */
+    gint64 first_ready_us; /* when ready engines were first reported */
+    gint64 ready_since_us; /* since when ready_engines is unchanged */
     guint ready_engines;
     gboolean settled;
-    gboolean too_large; /* as was logged */
+    gboolean too_large; /* last result of is_too_large */
 };
 
 struct capacity_duty {
     duties_t *duties;
     capacity_demand_t *demand;
     GHashTable *services; /* name -> service_plan_t */
-    guint64 version;      /* of the configuration that they follow */
+    guint64 version;      /* of the configuration last applied */
     guint reports;
     gint64 planned_us;
 };
@@ -154,9 +160,9 @@
     bounds_fill(s, &service->offer, settings);
 }
 
-/* Reads the newest configuration when there is a newer one. A service that it
- * no longer names, or names with other places, keeps what was ordered: its
- * plan is made anew by the next holder. */
+/* Applies the newest configuration if it is newer than the last one applied. A
+ * service that it no longer names, or names with other data centres, keeps its
+ * orders: the next duty holder plans it anew. */
 static void
 config_refresh(capacity_duty_t *c)
 {
@@ -218,7 +224,7 @@
                 ready = MAX(ready, state->reported[at][kind]);
             }
             data_centre->ready[kind] = ready;
-            /* What stood there before this instance ordered any. */
+            /* Engines that were ready before this instance ordered any. */
             if (state->accepted_us[kind] == 0) {
                 data_centre->ordered[kind] = ready;
             }
@@ -276,8 +282,9 @@
     }
     else {
         if (status == 409) {
-            /* What was ordered before is not to be had either, so that it is
-             * asked for again soon, and others may take its room. */
+            /* The platform cannot fulfil the previous order either. Lowering
+             * it makes the plan order the engines again soon and lets other
+             * data centres replace them. */
             data_centre->ordered[o->kind] = MIN(data_centre->ordered[o->kind],
                                                 data_centre->ready[o->kind]);
             data_centre->unavailable_until_us = now + UNAVAILABLE_RETRY_US;
@@ -321,7 +328,8 @@
     }
 }
 
-/* Whether an order that was taken brought nothing for too long. */
+/* Returns whether the engines of an accepted order are not ready after the
+ * maximum time. */
 static gboolean
 is_overdue(const service_plan_t *s, const capacity_data_centre_t *data_centre,
            supply_kind_t kind, gint64 now)
@@ -342,7 +350,8 @@
         return count > ordered || is_overdue(s, data_centre, kind, now);
     }
     if (kind == ENGINES_ON_DEMAND) {
-        /* Replaced by ones that cost less, or no longer wanted. */
+        /* Reclaimable engines that cost less replace them, or they are no
+         * longer needed. */
         return now - s->increased_us > SHRINK_DELAY_US || data_centre->idle ||
                data_centre->ready[ENGINES_RECLAIMABLE] > 0;
     }
@@ -370,10 +379,11 @@
     order_send(s, data_centre, kind, count, now);
 }
 
-/* Whether what stands is known: all endpoints have renewed their leases since
- * this instance or the whole site started, and no more were heard of; where
- * they come and go all the time, after two such intervals: what stands is paid
- * for at the full price meanwhile. */
+/* Returns whether the number of ready engines is known. All endpoints renew
+ * their leases within one heartbeat interval after this instance or the whole
+ * site has started, so the number must be unchanged for an interval. Where
+ * engines join and leave all the time, two intervals suffice: waiting longer
+ * costs the full price of the ready engines. */
 static gboolean
 is_settled(service_plan_t *s, gint64 now)
 {
@@ -400,7 +410,8 @@
     return s->settled;
 }
 
-/* Whether the fleet is too large for engines to be exchanged. */
+/* Returns whether there are too many engines and entry instances to replace
+ * engines, and logs it once. */
 static gboolean
 is_too_large(service_plan_t *s)
 {
@@ -455,7 +466,7 @@
     }
 }
 
-/* ---- life ---- */
+/* ---- create and destroy ---- */
 
 capacity_duty_t *
 capacity_duty_create(duties_t *d)
@@ -476,8 +487,8 @@
     g_free(c);
 }
 
-/* What an earlier holder ordered is learned from what stands; its calls have
- * ended, and so have this instance's own. */
+/* The orders of the previous duty holder are derived from the ready engines.
+ * Its calls have ended, and so have this instance's own. */
 void
 capacity_duty_start_term(capacity_duty_t *c)
 {
@@ -487,7 +498,7 @@
     config_refresh(c);
 }
 
-/* ---- for people ---- */
+/* ---- state for operators ---- */
 
 static json_t *
 data_centre_json(const capacity_data_centre_t *p, gint64 now)
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -6,16 +6,18 @@
 
 enum {
     MS = 1000,
-    /* Between two looks at what is due. */
+    /* Interval between two runs of the duties. */
     STEP_INTERVAL_US = 100 * MS,
-    /* Between two words about the time of day to each other control instance:
-     * clocks drift by microseconds in that time, and one that was set is
-     * known as such a second later. */
+    /* Interval between two reports of this instance's time of day to the other
+     * control instances. Clocks drift by microseconds in that time, and a
+     * clock that was set is noticed within a second. */
     CLOCK_REPORT_INTERVAL_US = 500 * MS,
-    /* Between two reports of an entry instance: what it counted in that time
-     * is lost with it, a sixteenth of its part of a window of 4 s. */
+    /* Minimum interval between two reports of an entry instance. If the
+     * instance crashes, its counts since the last report are lost: at most a
+     * sixteenth of its share of a window of 4 s. */
     REPORT_INTERVAL_MIN_MS = 250,
-    /* A report takes some 0.06 ms, so that all take 1.5% of a core at most. */
+    /* The interval grows with the number of entry instances. Handling a report
+     * takes about 0.06 ms, so reports use at most 1.5% of a core. */
     REPORT_INTERVAL_MS_PER_ENTRY = 4,
 };
 
@@ -57,13 +59,13 @@
 {
     const config_view_message_t *view = &d->control->view;
     gint64 now = clock_boot_us();
-    /* An instance that ends leaves the duties to the next leader. */
+    /* A draining instance leaves the duties to the next leader. */
     gboolean leads = view->leads && !d->control->draining;
     if (!duty_lease_update(&d->lease, leads, view->term, view->read_until_us,
                            now)) {
         return;
     }
-    duty_calls_check(d->calls); /* those of the lease before end */
+    duty_calls_check(d->calls); /* drops calls of the previous lease */
     if (d->lease.token != 0) {
         lease_acquired(d, now);
     }
@@ -156,7 +158,7 @@
 {
     duties_t *d = c->duties;
     if (d == NULL || d->lease.token == 0) {
-        answer_plain(exchange, 503, "{\"error\":\"not the holder\"}");
+        answer_plain(exchange, 503, "{\"error\":\"not the duty holder\"}");
         return;
     }
     usage_report_t report;
@@ -180,7 +182,8 @@
 
 /* ---- calls ---- */
 
-/* Whether the platform takes one more call in this second. */
+/* Returns whether the platform's rate limit admits another call in this
+ * second, and counts the call if so. */
 static gboolean
 rate_limit_admit(duties_t *d, gint64 now_us)
 {
@@ -226,7 +229,7 @@
     return text;
 }
 
-/* ---- life ---- */
+/* ---- create and destroy ---- */
 
 static void
 on_step(void *data)
@@ -255,7 +258,7 @@
     duty_set_t set;
     if (platform_duties_decode(c->settings->duties, &set) != PLATFORM_OK ||
         !set.any) {
-        return NULL; /* the settings were checked: there are none */
+        return NULL; /* no duties; the settings were validated before */
     }
     duties_t *d = g_new0(duties_t, 1);
     d->control = c;
--- a/carobloomd/control/duty_calls.c
+++ b/carobloomd/control/duty_calls.c
@@ -6,8 +6,8 @@
 
 enum {
     MS = 1000,
-    /* A platform that is slow takes a second or two; a call that takes longer
-     * is made anew, which changes nothing where the first arrived. */
+    /* A slow platform answers within a second or two. A call that takes longer
+     * is repeated, which has no effect if the first one arrived. */
     CALL_TIMEOUT_US = 4000 * MS,
 };
 
@@ -46,7 +46,7 @@
     done(user, status);
 }
 
-/* Ends a call whatever became of it. */
+/* Resets the connection of a call, which then ends without a response. */
 static void
 call_drop(duty_call_t *d)
 {
@@ -75,7 +75,7 @@
 on_body(client_call_t *call, str_t bytes, void *user)
 {
     (void)call;
-    (void)bytes; /* the status says it all */
+    (void)bytes; /* the status is sufficient */
     (void)user;
 }
 
@@ -91,7 +91,7 @@
 on_failed(client_call_t *call, call_failure_t failure, void *user)
 {
     (void)call;
-    (void)failure; /* whether it arrived or not, it is made again */
+    (void)failure; /* the call is repeated whether it arrived or not */
     counter_add(counter_get("duty_calls_failed_total", NULL, FALSE), 1);
     call_end(user, 0);
 }
@@ -141,7 +141,7 @@
 duty_calls_send(duty_calls_t *calls, guint64 token, str_t bytes,
                 duty_call_done_t done, void *user)
 {
-    /* A kept connection takes the bytes within client_call_create. */
+    /* client_call_create writes the bytes at once on an idle connection. */
     if (duty_lease_authorize_call(calls->lease, clock_boot_us()) != token) {
         return FALSE;
     }
--- a/carobloomd/control/duty_calls.h
+++ b/carobloomd/control/duty_calls.h
@@ -1,9 +1,9 @@
-/* Calls to the platform under the lease of the duties. Private to the control
- * task.
+/* Calls to the platform under the lease of the duty holder. Private to the
+ * control task.
  *
- * A call is sent only while the lease holds, as checked right before its first
- * byte, and its connection is reset once the lease is lost, so that nothing of
- * it arrives later. */
+ * A call is sent only while the lease is valid, which is checked right before
+ * the first byte. When the lease is lost, the connection of the call is reset,
+ * so that no part of the call arrives later. */
 #ifndef CAROBLOOMD_CONTROL_DUTY_CALLS_H
 #define CAROBLOOMD_CONTROL_DUTY_CALLS_H
 
@@ -14,19 +14,22 @@
 
 typedef struct duty_calls duty_calls_t;
 
-/* How a call ended: the status answered, or 0 for none. */
+/* Called when a call has ended, with the status of the response; 0: no
+ * response. */
 typedef void (*duty_call_done_t)(void *user, guint status);
 
-/* `lease` outlives it. NULL unless `address` is IP:PORT. */
+/* Creates the calls to the platform at `address`. `lease` must outlive them.
+ * Returns NULL unless `address` is IP:PORT. */
 duty_calls_t *duty_calls_create(poller_t *poller, timers_t *timers,
                                 const char *address, duty_lease_t *lease);
-/* Calls under way end first, as unanswered. */
+/* Calls in flight are dropped first and end with status 0. */
 void duty_calls_destroy(duty_calls_t *calls);
-/* Sends `bytes`, which bear `token`. FALSE when it may not, or no connection
- * can be had; `answered` is not called then. */
+/* Sends `bytes`, a request that carries `token`. Returns FALSE, without
+ * calling `done`, if the lease does not allow the call or no connection is
+ * available. */
 gboolean duty_calls_send(duty_calls_t *calls, guint64 token, str_t bytes,
                          duty_call_done_t done, void *user);
-/* To be called often: ends calls that the lease no longer covers. */
+/* Drops calls that the lease no longer covers. Call it regularly. */
 void duty_calls_check(duty_calls_t *calls);
 
 #endif
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -1,5 +1,5 @@
-/* Usage windows: fixed in the log, then told to the platform until it has
- * them. */
+/* Usage windows: finalized in the replicated log, then reported to the
+ * platform until it has accepted them. */
 
 #include "carobloom/common/clock.h"
 #include "carobloom/common/counters.h"
@@ -8,10 +8,11 @@
 
 enum {
     MS = 1000,
-    /* A command that did not come back from the log by then is proposed
-     * again; a slow disk takes a tenth of a second. */
+    /* A command that was not committed after this time is proposed again; a
+     * slow disk takes a tenth of a second. */
     PROPOSE_RETRY_US = 1000 * MS,
-    /* A call that failed is made again after this, doubled each time. */
+    /* Delay before a failed call is repeated; doubled each time, up to the
+     * maximum. */
     RETRY_MIN_US = 200 * MS,
     RETRY_MAX_US = 2000 * MS,
 };
@@ -19,12 +20,12 @@
 struct usage_duty {
     duties_t *duties;
     usage_book_t *book;
-    usage_ledger_t *ledger;   /* as the log has it */
+    usage_ledger_t *ledger;   /* copy from the replicated log */
     gint64 proposed_us;       /* when a command was last proposed */
-    guint64 proposed_window;  /* the window that it fixes */
-    guint64 reporting;        /* the window of the call under way; 0: none */
-    guint64 accepted_through; /* the platform took those up to here, though the
-                               * log may not know it yet */
+    guint64 proposed_window;  /* the window that the command finalizes */
+    guint64 reporting;        /* the window of the call in flight; 0: none */
+    guint64 accepted_through; /* last window that the platform accepted; the
+                               * log may not have it yet */
     gint64 retry_at_us;
     gint64 retry_us;
 };
@@ -100,7 +101,7 @@
     return usage_ledger_finalized_through(u->ledger);
 }
 
-/* ---- fixing ---- */
+/* ---- finalizing ---- */
 
 static void
 propose(usage_duty_t *u, GBytes *command)
@@ -144,7 +145,7 @@
     usage_window_free(figures);
 }
 
-/* ---- telling ---- */
+/* ---- reporting to the platform ---- */
 
 static const usage_window_t *
 window_find(const usage_duty_t *u, guint64 window)
@@ -208,7 +209,7 @@
     report_pending(u);
 }
 
-/* ---- for people ---- */
+/* ---- state for operators ---- */
 
 static json_t *
 window_json(const usage_window_t *w, const char *state)
