--- a/tests/test_duty_calls.c
+++ b/tests/test_duty_calls.c
@@ -1,6 +1,6 @@
-/* Duties with real processes and a stand-in of the platform: whatever happens
- * to the holder, usage arrives once and truly, and nothing that the platform
- * forbids. */
+/* Tests the duties with real processes and a stand-in of the platform.
+ * Whatever happens to the duty holder, the platform receives the correct
+ * usage, counted once, and no call that it forbids. */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 #include "check.h"
 #include "fleet.h"
 
-enum { CONTROLS = 3, ENTRIES = 2, ENDPOINTS = 3, TOLD_WAIT_MS = 15000 };
+enum { CONTROLS = 3, ENTRIES = 2, ENDPOINTS = 3, REPORT_WAIT_MS = 15000 };
 
 static fleet_t *
 fleet_of_duties(void)
@@ -20,11 +20,12 @@
     return f;
 }
 
-/* ---- what the platform was told ---- */
+/* ---- calls that the platform received ---- */
 
-/* Requests of a team over all windows, each window once. */
+/* Returns the requests of a team that were reported, over all windows; a
+ * window that was reported twice counts once. */
 static guint
-told_of(const fleet_t *f, const char *team)
+reported_requests(const fleet_t *f, const char *team)
 {
     char *text = fleet_platform_log(f);
     char **lines = g_strsplit(text, "\n", -1);
@@ -52,21 +53,21 @@
 }
 
 static gboolean
-wait_told(const fleet_t *f, const char *team, guint count)
+wait_reported(const fleet_t *f, const char *team, guint count)
 {
-    for (int ms = 0; ms < TOLD_WAIT_MS && told_of(f, team) < count;
+    for (int ms = 0; ms < REPORT_WAIT_MS && reported_requests(f, team) < count;
          ms += 100) {
         fleet_sleep(100);
     }
-    guint told = told_of(f, team);
-    if (told != count) {
-        printf("team %s: %u told of %u\n", team, told, count);
+    guint reported = reported_requests(f, team);
+    if (reported != count) {
+        printf("team %s: %u of %u requests reported\n", team, reported, count);
     }
-    return told == count;
+    return reported == count;
 }
 
 static gboolean
-nothing_broken(const fleet_t *f)
+no_violation(const fleet_t *f)
 {
     char *text = fleet_platform_log(f);
     const char *at = strstr(text, "BROKEN");
@@ -77,9 +78,9 @@
     return at == NULL;
 }
 
-/* How many holders called. */
+/* Returns how many instances have reported usage as duty holder. */
 static guint
-holders_of(const fleet_t *f)
+count_holders(const fleet_t *f)
 {
     char *text = fleet_platform_log(f);
     char **lines = g_strsplit(text, "\n", -1);
@@ -98,14 +99,14 @@
     return count;
 }
 
-/* The control instance that holds the duties, `but` one that is not asked;
- * NULL: none does yet. */
+/* Returns the control instance that holds the duties, leaving out `except`;
+ * NULL: none yet. */
 static fleet_process_t *
-holder_now(fleet_t *f, const fleet_process_t *but)
+duty_holder_find(fleet_t *f, const fleet_process_t *except)
 {
     for (guint i = 0; i < CONTROLS; i++) {
         fleet_process_t *p = fleet_control(f, i);
-        if (p != but && fleet_is_running(p) &&
+        if (p != except && fleet_is_running(p) &&
             fleet_counter(p, "duties_held") == 1) {
             return p;
         }
@@ -114,11 +115,11 @@
 }
 
 static fleet_process_t *
-holder_wait_but(fleet_t *f, const fleet_process_t *but)
+duty_holder_wait_except(fleet_t *f, const fleet_process_t *except)
 {
     fleet_process_t *holder = NULL;
     for (int ms = 0; ms < FLEET_WAIT_MS && holder == NULL; ms += 100) {
-        holder = holder_now(f, but);
+        holder = duty_holder_find(f, except);
         fleet_sleep(100);
     }
     CU_ASSERT_PTR_NOT_NULL_FATAL(holder);
@@ -126,15 +127,15 @@
 }
 
 static fleet_process_t *
-holder_wait(fleet_t *f)
+duty_holder_wait(fleet_t *f)
 {
-    return holder_wait_but(f, NULL);
+    return duty_holder_wait_except(f, NULL);
 }
 
 /* ---- requests ---- */
 
 static guint
-requests(fleet_t *f, const char *key, const char *target, guint count)
+send_requests(fleet_t *f, const char *key, const char *target, guint count)
 {
     static guint made;
     guint served = 0;
@@ -153,13 +154,14 @@
 
 typedef struct {
     const char *name;
-    /* Done to the holder or the platform between two lots of requests. */
-    void (*during)(fleet_t *f, fleet_process_t *holder);
-    guint holders_least;
+    /* Fault injected into the duty holder or the platform between two batches
+     * of requests. */
+    void (*inject)(fleet_t *f, fleet_process_t *holder);
+    guint min_holders;
 } duty_case_t;
 
 static void
-nothing(fleet_t *f, fleet_process_t *holder)
+no_fault(fleet_t *f, fleet_process_t *holder)
 {
     (void)f;
     (void)holder;
@@ -169,11 +171,11 @@
 kill_holder(fleet_t *f, fleet_process_t *holder)
 {
     fleet_kill(holder);
-    holder_wait_but(f, holder);
+    duty_holder_wait_except(f, holder);
     fleet_start(f, holder);
 }
 
-/* It may come to hold the duties again. */
+/* The restarted instance may become the duty holder again. */
 static void
 restart_holder(fleet_t *f, fleet_process_t *holder)
 {
@@ -187,17 +189,18 @@
 {
     fleet_signal(holder, SIGTERM);
     CU_ASSERT_EQUAL(fleet_wait_exit(holder), 0);
-    holder_wait_but(f, holder);
+    duty_holder_wait_except(f, holder);
     fleet_start(f, holder);
 }
 
-/* Stopped for longer than a lease and woken while another holds it. */
+/* Stops the duty holder for longer than a lease and resumes it while another
+ * instance holds the lease. */
 static void
 freeze_holder(fleet_t *f, fleet_process_t *holder)
 {
     fleet_signal(holder, SIGSTOP);
     fleet_sleep(3000);
-    holder_wait_but(f, holder);
+    duty_holder_wait_except(f, holder);
     fleet_signal(holder, SIGCONT);
 }
 
@@ -214,7 +217,8 @@
     }
 }
 
-/* The platform takes nothing for a while, and the holder is lost in it. */
+/* The platform does not answer for a while, and the duty holder restarts in
+ * that time. */
 static void
 platform_silent(fleet_t *f, fleet_process_t *holder)
 {
@@ -235,7 +239,7 @@
 }
 
 static const duty_case_t DUTY_CASES[] = {
-    {"all is well", nothing, 1},
+    {"all is well", no_fault, 1},
     {"the holder is killed", kill_holder, 2},
     {"the holder starts again at once", restart_holder, 1},
     {"the holder drains", drain_holder, 2},
@@ -247,10 +251,9 @@
 
 enum { BEFORE = 12, DURING_STREAMS = 6, AFTER = 9 };
 
-/* Every request that ran is told, under its team, whatever happens between. */
-/* What operators ask for, at any control instance. */
+/* Checks that every control instance serves the pages for operators. */
 static void
-check_pages(fleet_t *f)
+check_operator_pages(fleet_t *f)
 {
     for (guint i = 0; i < CONTROLS; i++) {
         const char *ip = fleet_control(f, i)->ip;
@@ -267,38 +270,42 @@
     }
 }
 
+/* Every request that ran is reported, under its team, whatever fault is
+ * injected. */
 static void
-duty_case(const duty_case_t *c)
+run_duty_case(const duty_case_t *c)
 {
     fleet_t *f = fleet_of_duties();
     printf("%s ", c->name);
-    holder_wait(f);
-    guint used = requests(f, FLEET_KEY, "/safe/1", BEFORE);
-    CU_ASSERT(wait_told(f, "t", used));
-    guint others = requests(f, FLEET_OTHER_KEY, "/stream/1", DURING_STREAMS);
-    c->during(f, holder_wait(f));
-    holder_wait(f);
-    used += requests(f, FLEET_KEY, "/safe/1", AFTER);
+    duty_holder_wait(f);
+    guint used = send_requests(f, FLEET_KEY, "/safe/1", BEFORE);
+    CU_ASSERT(wait_reported(f, "t", used));
+    guint others =
+        send_requests(f, FLEET_OTHER_KEY, "/stream/1", DURING_STREAMS);
+    c->inject(f, duty_holder_wait(f));
+    duty_holder_wait(f);
+    used += send_requests(f, FLEET_KEY, "/safe/1", AFTER);
     CU_ASSERT_EQUAL(used, BEFORE + AFTER);
     CU_ASSERT_EQUAL(others, DURING_STREAMS);
-    CU_ASSERT(wait_told(f, "t", used));
-    CU_ASSERT(wait_told(f, "u", others));
-    CU_ASSERT(nothing_broken(f));
-    CU_ASSERT(holders_of(f) >= c->holders_least);
-    check_pages(f);
+    CU_ASSERT(wait_reported(f, "t", used));
+    CU_ASSERT(wait_reported(f, "u", others));
+    CU_ASSERT(no_violation(f));
+    CU_ASSERT(count_holders(f) >= c->min_holders);
+    check_operator_pages(f);
     fleet_destroy(f);
 }
 
 static void
-test_usage_told(void)
+test_usage_reported(void)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(DUTY_CASES); i++) {
-        duty_case(&DUTY_CASES[i]);
+        run_duty_case(&DUTY_CASES[i]);
     }
 }
 
-/* What began to run is counted, what did not is not: refused, denied, without
- * a route; a request that ran at two endpoints counts once. */
+/* A request counts once it has started to run, and only once if it ran at two
+ * endpoints. A request that was refused, denied or had no route does not
+ * count. */
 static void
 test_what_counts(void)
 {
@@ -310,18 +317,19 @@
         {"/safe/1", "", 1},
         {"/none/1", "", 0},
         {"/once/1", "Fault: error\r\n", 1},
-        /* an engine's own failure, which ends a run, and a prompt answered
-         * whole */
+        /* an engine's own error, which ends the run, and a prompt whose
+         * response is complete */
         {"/fragile/stream/1", "Token-Counts: 150\r\nFault: error\r\n", 1},
         {"/safe/1", "Token-Counts: 150\r\n", 1},
         {"/fragile/stream/1", "Token-Counts: 150\r\nFault: full\r\n", 0},
         {"/stream/1", "Fault: cut@endpoint-5.1\r\n", 1},
-        {"/once/1", "Fault: reset\r\n", 1}, /* it ran, unheard */
+        /* it ran, but its response was lost */
+        {"/once/1", "Fault: reset\r\n", 1},
         {"/once/1", "Fault: full\r\n", 0},
     };
     fleet_t *f = fleet_of_duties();
     guint counted = 0;
-    holder_wait(f);
+    duty_holder_wait(f);
     for (gsize i = 0; i < G_N_ELEMENTS(CASES); i++) {
         for (int round = 0; round < 4; round++) {
             char id[32];
@@ -332,30 +340,31 @@
             counted += CASES[i].counted;
             reply_free(reply);
         }
-        fleet_sleep(600); /* endpoints that were left come back */
+        fleet_sleep(600); /* endpoints that were avoided are used again */
     }
-    CU_ASSERT(wait_told(f, "t", counted));
-    CU_ASSERT(nothing_broken(f));
+    CU_ASSERT(wait_reported(f, "t", counted));
+    CU_ASSERT(no_violation(f));
     fleet_destroy(f);
 }
 
-/* An entry instance that is killed takes with it what it counted since its
- * last report, a quarter of a second before. */
+/* A killed entry instance loses what it counted since its last report, a
+ * quarter of a second earlier. What was reported before the kill must still
+ * reach the platform. */
 static void
 test_entry_killed(void)
 {
     fleet_t *f = fleet_of_duties();
-    holder_wait(f);
-    guint used = requests(f, FLEET_KEY, "/safe/1", BEFORE);
+    duty_holder_wait(f);
+    guint used = send_requests(f, FLEET_KEY, "/safe/1", BEFORE);
     fleet_sleep(500);
     fleet_kill(fleet_entry(f, 0));
-    CU_ASSERT(wait_told(f, "t", used));
-    CU_ASSERT(nothing_broken(f));
+    CU_ASSERT(wait_reported(f, "t", used));
+    CU_ASSERT(no_violation(f));
     fleet_destroy(f);
 }
 
 static const test_case_t cases[] = {
-    {"usage is told, whatever happens to the holder", test_usage_told},
+    {"usage is told, whatever happens to the holder", test_usage_reported},
     {"what counts as usage", test_what_counts},
     {"an entry instance is killed", test_entry_killed},
 };
