--- a/tests/test_parsers.c
+++ b/tests/test_parsers.c
@@ -1,5 +1,6 @@
-/* Every reader of outside bytes, on cases and on seeded mutations: refused
- * with a place or read, never crashed (the sanitizers watch). */
+/* Tests every parser of external input on cases and on seeded mutations of
+ * valid input. Invalid input must be refused with its position, or parsed, and
+ * must never crash the parser; run it with the sanitizers. */
 #include <glib/gstdio.h>
 #include <math.h>
 #include <signal.h>
@@ -24,7 +25,7 @@
 enum { MUTATIONS = 4000 };
 
 static char *
-read_sample(const char *name)
+sample_load(const char *name)
 {
     char *path = g_strdup_printf("%s/samples/%s", SOURCE_ROOT, name);
     char *text = NULL;
@@ -33,10 +34,10 @@
     return text;
 }
 
-typedef void (*reader_t)(GBytes *bytes);
+typedef void (*parser_t)(GBytes *bytes);
 
 static void
-mutate(GBytes *good, reader_t reader, guint seed)
+parse_mutations(GBytes *good, parser_t parse, guint seed)
 {
     GRand *rand = g_rand_new_with_seed(seed);
     gsize length;
@@ -51,14 +52,14 @@
                         ? length
                         : (gsize)g_rand_int_range(rand, 0, (gint)length + 1);
         GBytes *bytes = g_bytes_new_take(copy, cut);
-        reader(bytes);
+        parse(bytes);
         g_bytes_unref(bytes);
     }
     g_rand_free(rand);
 }
 
 static str_t
-view(GBytes *bytes)
+bytes_view(GBytes *bytes)
 {
     gsize length;
     const char *data = g_bytes_get_data(bytes, &length);
@@ -66,25 +67,25 @@
 }
 
 static void
-read_document(GBytes *bytes)
+parse_document(GBytes *bytes)
 {
     GPtrArray *faults = faults_create();
-    document_t *d = document_parse(view(bytes), 1, faults);
+    document_t *d = document_parse(bytes_view(bytes), 1, faults);
     CU_ASSERT((d != NULL) == (faults->len == 0));
     for (guint i = 0; i < faults->len; i++) {
-        CU_ASSERT(
-            jsonc_line(view(bytes), ((fault_t *)faults->pdata[i])->path) >= 1);
+        CU_ASSERT(jsonc_line(bytes_view(bytes),
+                             ((fault_t *)faults->pdata[i])->path) >= 1);
     }
     document_unref(d);
     faults_destroy(faults);
 }
 
 static void
-read_settings(GBytes *bytes)
+parse_settings(GBytes *bytes)
 {
     GPtrArray *faults = faults_create();
     settings_t *s = NULL;
-    if (settings_parse(view(bytes), &s, faults) == SETTINGS_OK) {
+    if (settings_parse(bytes_view(bytes), &s, faults) == SETTINGS_OK) {
         settings_destroy(s);
     }
     else {
@@ -103,16 +104,16 @@
 }
 
 static void
-read_events(GBytes *bytes)
+parse_events(GBytes *bytes)
 {
     sse_t sse;
     sse_init(&sse);
-    sse_feed(&sse, view(bytes), ignore_event, NULL);
+    sse_feed(&sse, bytes_view(bytes), ignore_event, NULL);
     sse_clear(&sse);
 }
 
 static void
-read_wire(GBytes *bytes)
+parse_wire(GBytes *bytes)
 {
     wire_ticket_t ticket;
     wire_settle_t settle;
@@ -141,7 +142,7 @@
 }
 
 static void
-read_command(GBytes *bytes)
+parse_command(GBytes *bytes)
 {
     site_state_t *state = site_state_create();
     site_result_t result;
@@ -151,7 +152,7 @@
 }
 
 static void
-read_gossip(GBytes *bytes)
+parse_gossip(GBytes *bytes)
 {
     member_record_t self = {.id = 1, .name = "a"};
     membership_settings_t settings = {
@@ -163,22 +164,23 @@
 }
 
 static void
-mutate_text(const char *text, reader_t reader, guint seed)
+parse_text_mutations(const char *text, parser_t parse, guint seed)
 {
     GBytes *bytes = g_bytes_new(text, strlen(text));
-    mutate(bytes, reader, seed);
+    parse_mutations(bytes, parse, seed);
     g_bytes_unref(bytes);
 }
 
 static void
 test_mutations(void)
 {
-    char *site = read_sample("site.jsonc");
-    char *settings = read_sample("settings.jsonc");
-    mutate_text(site, read_document, 1);
-    mutate_text(settings, read_settings, 2);
-    mutate_text("event: x\r\ndata: {\"id\":\"a\"}\n\ndata: b\ndata: c\n\n",
-                read_events, 3);
+    char *site = sample_load("site.jsonc");
+    char *settings = sample_load("settings.jsonc");
+    parse_text_mutations(site, parse_document, 1);
+    parse_text_mutations(settings, parse_settings, 2);
+    parse_text_mutations(
+        "event: x\r\ndata: {\"id\":\"a\"}\n\ndata: b\ndata: c\n\n",
+        parse_events, 3);
     g_free(site);
     g_free(settings);
     wire_ticket_t ticket = {.ticket = {.id = 5, .team_weight = 1}};
@@ -191,15 +193,15 @@
                      wire_endpoint_write(&info),
                      site_claim_write(1, "team", "key", 2, 3, 4)};
     for (guint i = 0; i < G_N_ELEMENTS(all); i++) {
-        mutate(all[i], read_wire, 10 + i);
-        mutate(all[i], read_command, 20 + i);
-        mutate(all[i], read_gossip, 30 + i);
+        parse_mutations(all[i], parse_wire, 10 + i);
+        parse_mutations(all[i], parse_command, 20 + i);
+        parse_mutations(all[i], parse_gossip, 30 + i);
         g_bytes_unref(all[i]);
     }
 }
 
 static void
-read_limits(GBytes *bytes)
+parse_limits(GBytes *bytes)
 {
     limit_report_t report;
     limit_answer_t answer;
@@ -211,18 +213,19 @@
     }
 }
 
-/* What instances tell each other of limits. */
+/* Messages of instances about limits: a written report is read back, and a
+ * rate that is negative, not finite or too high is refused. */
 static void
 test_limit_messages(void)
 {
-    limit_request_t ask = {
+    limit_request_t request = {
         .endpoint = 7, .limited = TRUE, .rate = 2.5, .outstanding = 3};
     limit_grant_t grant = {.state = {7, TRUE, 2.5}, .granted = 4};
     limit_report_t report = {.from = (char *)"entry-1", .sequence = 9};
     limit_answer_t answer = {.ask_ms = 100};
     limit_report_t read;
-    report.asks = g_array_new(FALSE, FALSE, sizeof(ask));
-    g_array_append_val(report.asks, ask);
+    report.asks = g_array_new(FALSE, FALSE, sizeof(request));
+    g_array_append_val(report.asks, request);
     answer.grants = g_array_new(FALSE, FALSE, sizeof(grant));
     g_array_append_val(answer.grants, grant);
     GBytes *written = limit_report_write(&report);
@@ -231,10 +234,10 @@
     CU_ASSERT_EQUAL(g_array_index(read.asks, limit_request_t, 0).outstanding,
                     3);
     limit_report_clear(&read);
-    mutate(written, read_limits, 41);
+    parse_mutations(written, parse_limits, 41);
     g_bytes_unref(written);
     written = limit_answer_write(&answer);
-    mutate(written, read_limits, 42);
+    parse_mutations(written, parse_limits, 42);
     g_bytes_unref(written);
     static const double RATES[] = {-1, NAN, INFINITY, 1e300};
     for (gsize i = 0; i < G_N_ELEMENTS(RATES); i++) {
@@ -252,7 +255,7 @@
 {
     static const struct {
         const char *text;
-        const char *place; /* must stand in a fault */
+        const char *expected; /* must occur in the text of a fault */
     } cases[] = {
         {"{", "line 1"},
         {"{\n\"instance\": \"a\",\n\"instance\": \"b\"}", "line 3"},
@@ -275,17 +278,17 @@
         gboolean found = FALSE;
         for (guint k = 0; k < faults->len; k++) {
             found |= strstr(((fault_t *)faults->pdata[k])->text,
-                            cases[i].place) != NULL;
+                            cases[i].expected) != NULL;
         }
         if (!found) {
-            printf("case %zu lacks: %s\n", i, cases[i].place);
+            printf("case %zu: no fault contains: %s\n", i, cases[i].expected);
         }
         CU_ASSERT(found);
         faults_destroy(faults);
     }
 }
 
-/* ---- the voter's disk ---- */
+/* ---- the voter's store on disk ---- */
 
 static char *
 folder_create(void)
@@ -309,7 +312,7 @@
 }
 
 static void
-log_add(replica_log_t *log, guint64 index)
+log_append_entry(replica_log_t *log, guint64 index)
 {
     char text[32];
     g_snprintf(text, sizeof(text), "entry %lu", (unsigned long)index);
@@ -320,9 +323,10 @@
     g_bytes_unref(data);
 }
 
-/* Writes so many entries, a frame each; returns the log's bytes. */
+/* Writes `entries` entries, each in a frame of its own. Returns the size of
+ * the log in bytes. */
 static guint64
-store_fill(const char *folder, guint64 entries)
+store_write(const char *folder, guint64 entries)
 {
     log_store_t *store;
     store_state_t state;
@@ -333,7 +337,7 @@
     replica_log_t log;
     replica_log_init(&log);
     for (guint64 i = 1; i <= entries; i++) {
-        log_add(&log, i);
+        log_append_entry(&log, i);
         CU_ASSERT_EQUAL(log_store_append(store, &log, i, &why), STORE_OK);
     }
     guint64 bytes = log_store_bytes(store);
@@ -343,7 +347,7 @@
 }
 
 static int
-store_count(const char *folder, guint *entries, guint64 *cut, char **why)
+store_read(const char *folder, guint *entries, guint64 *cut, char **why)
 {
     log_store_t *store;
     store_state_t state;
@@ -361,20 +365,20 @@
 test_torn_tail_is_cut(void)
 {
     guint64 frame = 8;
-    for (guint lost = 1; lost < frame; lost += 7) {
+    for (guint truncated = 1; truncated < frame; truncated += 7) {
         char *folder = folder_create();
-        guint64 bytes = store_fill(folder, 5);
-        frame = bytes / 5; /* no more than the last one is torn */
+        guint64 bytes = store_write(folder, 5);
+        frame = bytes / 5; /* only the last frame is truncated */
         char *path = g_build_filename(folder, "log", NULL);
-        CU_ASSERT_EQUAL(truncate(path, (off_t)(bytes - lost)), 0);
+        CU_ASSERT_EQUAL(truncate(path, (off_t)(bytes - truncated)), 0);
         guint entries = 0;
         guint64 cut = 0;
         char *why = NULL;
-        CU_ASSERT_EQUAL(store_count(folder, &entries, &cut, &why), STORE_OK);
+        CU_ASSERT_EQUAL(store_read(folder, &entries, &cut, &why), STORE_OK);
         CU_ASSERT_EQUAL(entries, 4);
         CU_ASSERT(cut > 0);
-        /* And it is whole again after that. */
-        CU_ASSERT_EQUAL(store_count(folder, &entries, &cut, &why), STORE_OK);
+        /* The log was repaired and opens without a cut. */
+        CU_ASSERT_EQUAL(store_read(folder, &entries, &cut, &why), STORE_OK);
         CU_ASSERT_EQUAL(cut, 0);
         g_free(path);
         folder_remove(folder);
@@ -385,7 +389,7 @@
 test_damaged_middle_is_refused(void)
 {
     char *folder = folder_create();
-    store_fill(folder, 5);
+    store_write(folder, 5);
     char *path = g_build_filename(folder, "log", NULL);
     FILE *file = fopen(path, "r+");
     fseek(file, 100, SEEK_SET);
@@ -394,7 +398,7 @@
     guint entries = 0;
     guint64 cut = 0;
     char *why = NULL;
-    CU_ASSERT_EQUAL(store_count(folder, &entries, &cut, &why),
+    CU_ASSERT_EQUAL(store_read(folder, &entries, &cut, &why),
                     STORE_ERROR_DAMAGED);
     CU_ASSERT(why && strstr(why, "damaged at byte") != NULL);
     g_free(why);
@@ -402,9 +406,10 @@
     folder_remove(folder);
 }
 
-/* A limit on the file's size stands for a full disk. */
+/* A limit on the file size simulates a full disk: an append must fail with an
+ * error, and the entries that were acknowledged before must stay readable. */
 static void
-test_full_disk_is_told(void)
+test_full_disk_is_reported(void)
 {
     char *folder = folder_create();
     log_store_t *store;
@@ -423,7 +428,7 @@
     int result = STORE_OK;
     guint64 written = 0;
     for (guint64 i = 1; i <= 200 && result == STORE_OK; i++) {
-        log_add(&log, i);
+        log_append_entry(&log, i);
         result = log_store_append(store, &log, i, &why);
         written += result == STORE_OK;
     }
@@ -432,16 +437,16 @@
     CU_ASSERT(why != NULL);
     g_clear_pointer(&why, g_free);
     log_store_close(store);
-    /* What was acknowledged is there, and no more. */
+    /* The log has exactly the acknowledged entries. */
     guint entries = 0;
     guint64 cut = 0;
-    CU_ASSERT_EQUAL(store_count(folder, &entries, &cut, &why), STORE_OK);
+    CU_ASSERT_EQUAL(store_read(folder, &entries, &cut, &why), STORE_OK);
     CU_ASSERT_EQUAL(entries, written);
     replica_log_clear(&log);
     folder_remove(folder);
 }
 
-/* ---- the document's text ---- */
+/* ---- versions of the document ---- */
 
 static void
 test_splices_rebuild_any_version(void)
@@ -466,7 +471,7 @@
         site_result_t result;
         CU_ASSERT(site_state_apply(state, i, command, &result));
         CU_ASSERT_EQUAL(result.outcome, SITE_OK);
-        /* The same change again: the first version. */
+        /* A repeated change returns the version that it got the first time. */
         site_state_apply(state, i, command, &result);
         CU_ASSERT_EQUAL(result.outcome, SITE_REPEATED);
         CU_ASSERT_EQUAL(result.version, i);
@@ -480,7 +485,7 @@
         CU_ASSERT_STRING_EQUAL(text, (char *)texts->pdata[i]);
         g_free(text);
     }
-    /* A whole text, from an instance that does not have the base. */
+    /* An instance without the base version submits the whole text. */
     splice_t whole = splice_between(STR(""), STR("all new"));
     whole.removed = SITE_WHOLE;
     GBytes *replace = site_submit_write(41, "c41", 40, "a", "", &whole);
@@ -508,7 +513,7 @@
     {"settings' faults have their place", test_settings_faults},
     {"a torn tail is cut", test_torn_tail_is_cut},
     {"a damaged middle is refused", test_damaged_middle_is_refused},
-    {"a full disk is told", test_full_disk_is_told},
+    {"a full disk is told", test_full_disk_is_reported},
     {"steps rebuild any version", test_splices_rebuild_any_version},
 };
 
