--- a/carobloomd/control/duty_calls.c
+++ b/carobloomd/control/duty_calls.c
@@ -141,7 +141,8 @@
 duty_calls_send(duty_calls_t *calls, guint64 token, str_t bytes,
                 duty_call_done_t done, void *user)
 {
-    /* client_call_create writes the bytes at once on an idle connection. */
+    /* Checked first, since client_call_create writes the bytes at once on an
+     * idle connection. */
     if (duty_lease_authorize_call(calls->lease, clock_boot_us()) != token) {
         return FALSE;
     }
