--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -6,17 +6,19 @@
 
 enum {
     MS = 1000,
-    /* Between two looks at what is due. */
-    STEP_US = 100 * MS,
-    /* Between two words about the time of day to each other control instance:
-     * clocks drift by microseconds in that time, and one that was set is
-     * known as such a second later. */
-    CLOCK_US = 500 * MS,
-    /* Between two reports of an entry instance: what it counted in that time
-     * is lost with it, a sixteenth of its part of a window of 4 s. */
-    ASK_LEAST_MS = 250,
-    /* A report takes some 0.06 ms, so that all take 1.5% of a core at most. */
-    ASK_MS_AN_ENTRY = 4,
+    /* Interval between two runs of the duties. */
+    STEP_INTERVAL_US = 100 * MS,
+    /* Interval between two reports of this instance's time of day to the other
+     * control instances. Clocks drift by microseconds in that time, and a
+     * clock that was set is noticed within a second. */
+    CLOCK_REPORT_INTERVAL_US = 500 * MS,
+    /* Minimum interval between two reports of an entry instance. If the
+     * instance crashes, its counts since the last report are lost: at most a
+     * sixteenth of its share of a window of 4 s. */
+    REPORT_INTERVAL_MIN_MS = 250,
+    /* The interval grows with the number of entry instances. Handling a report
+     * takes about 0.06 ms, so reports use at most 1.5% of a core. */
+    REPORT_INTERVAL_MS_PER_ENTRY = 4,
 };
 
 /* ---- the lease ---- */
@@ -35,7 +37,7 @@
         event_log_number("acts_in_ms", (d->lease.valid_from_us - now_us) / MS);
     }
     else {
-        event_log_number("held_for_ms", (now_us - d->since_us) / MS);
+        event_log_number("held_for_ms", (now_us - d->acquired_us) / MS);
     }
     event_log_end();
 }
@@ -43,12 +45,12 @@
 static void
 lease_acquired(duties_t *d, gint64 now_us)
 {
-    d->since_us = now_us;
+    d->acquired_us = now_us;
     if (d->usage != NULL) {
-        usage_duty_begin(d->usage);
+        usage_duty_start_term(d->usage);
     }
     if (d->capacity != NULL) {
-        capacity_duty_begin(d->capacity);
+        capacity_duty_start_term(d->capacity);
     }
 }
 
@@ -57,13 +59,13 @@
 {
     const config_view_message_t *view = &d->control->view;
     gint64 now = clock_boot_us();
-    /* An instance that ends leaves the duties to the next leader. */
+    /* A draining instance leaves the duties to the next leader. */
     gboolean leads = view->leads && !d->control->draining;
     if (!duty_lease_update(&d->lease, leads, view->term, view->read_until_us,
                            now)) {
         return;
     }
-    duty_calls_check(d->calls); /* those of the lease before end */
+    duty_calls_check(d->calls); /* drops calls of the previous lease */
     if (d->lease.token != 0) {
         lease_acquired(d, now);
     }
@@ -71,16 +73,16 @@
 }
 
 void
-duties_take_view(duties_t *d)
+duties_apply_view(duties_t *d)
 {
     const config_view_message_t *view = &d->control->view;
-    if (!d->began && (view->term > 0 || view->first_start)) {
-        d->began = TRUE;
+    if (!d->initialized && (view->term > 0 || view->first_start)) {
+        d->initialized = TRUE;
         duty_lease_init(&d->lease,
                         (gint64)(d->control->settings->duty_lease_ms * MS),
                         view->first_start, clock_boot_us());
     }
-    if (d->began) {
+    if (d->initialized) {
         lease_update(d);
     }
 }
@@ -94,16 +96,16 @@
 }
 
 static void
-tell_clock(duties_t *d)
+send_clock(duties_t *d)
 {
     control_t *c = d->control;
     gint64 now = control_now(c);
-    if (now - d->clock_told_us < CLOCK_US) {
+    if (now - d->clock_sent_us < CLOCK_REPORT_INTERVAL_US) {
         return;
     }
-    d->clock_told_us = now;
-    clock_word_t word = {.from = c->self, .wall_us = g_get_real_time()};
-    GBytes *bytes = clock_word_write(&word);
+    d->clock_sent_us = now;
+    clock_report_t message = {.from = c->self, .wall_us = g_get_real_time()};
+    GBytes *bytes = clock_report_write(&message);
     for (guint i = 0; i < c->view.voters.count; i++) {
         const char *name = c->view.voters.members[i].name;
         if (g_strcmp0(name, c->self) != 0) {
@@ -117,19 +119,19 @@
 void
 handle_clock(control_t *c, http_exchange_t *exchange)
 {
-    clock_word_t word;
+    clock_report_t message;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = clock_word_read(bytes, &word);
+    gboolean valid = clock_report_read(bytes, &message);
     g_bytes_unref(bytes);
-    if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+    if (!valid) {
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (c->duties != NULL) {
-        site_clock_record(c->duties->clock, word.from, word.wall_us,
+        site_clock_record(c->duties->clock, message.from, message.wall_us,
                           clock_boot_us());
     }
-    clock_word_clear(&word);
+    clock_report_clear(&message);
     http_exchange_answer(exchange, 204, STR(""), STR(""));
 }
 
@@ -140,10 +142,11 @@
 {
     usage_answer_t answer = {
         .wall_us = duties_wall_us(d),
-        .fixed_through =
-            d->usage != NULL ? usage_duty_fixed_through(d->usage) : 0,
-        .ask_ms =
-            MAX(ASK_LEAST_MS, entries_fresh(d->control) * ASK_MS_AN_ENTRY),
+        .finalized_through =
+            d->usage != NULL ? usage_duty_finalized_through(d->usage) : 0,
+        .report_interval_ms =
+            MAX(REPORT_INTERVAL_MIN_MS, active_entries_count(d->control) *
+                                            REPORT_INTERVAL_MS_PER_ENTRY),
     };
     GBytes *bytes = usage_answer_write(&answer);
     http_exchange_answer(exchange, 200, STR(""), str_from_bytes(bytes));
@@ -155,22 +158,22 @@
 {
     duties_t *d = c->duties;
     if (d == NULL || d->lease.token == 0) {
-        answer_plain(exchange, 503, "{\"error\":\"not the holder\"}");
+        answer_json(exchange, 503, "{\"error\":\"not the holder\"}");
         return;
     }
     usage_report_t report;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = usage_report_read(bytes, &report);
+    gboolean valid = usage_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+    if (!valid) {
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
     if (d->usage != NULL) {
-        usage_duty_report(d->usage, &report);
+        usage_duty_record_report(d->usage, &report);
     }
     if (d->capacity != NULL) {
-        capacity_duty_report(d->capacity, &report);
+        capacity_duty_record_report(d->capacity, &report);
     }
     usage_report_clear(&report);
     counter_add(counter_get("usage_reports_total", NULL, FALSE), 1);
@@ -179,24 +182,25 @@
 
 /* ---- calls ---- */
 
-/* Whether the platform takes one more call in this second. */
+/* Returns whether the platform's rate limit admits another call in this
+ * second, and counts the call if so. */
 static gboolean
-rate_allows(duties_t *d, gint64 now_us)
+rate_limit_admit(duties_t *d, gint64 now_us)
 {
-    if (now_us - d->second_us >= G_USEC_PER_SEC) {
-        d->second_us = now_us;
-        d->calls_made = 0;
+    if (now_us - d->rate_window_us >= G_USEC_PER_SEC) {
+        d->rate_window_us = now_us;
+        d->calls_in_window = 0;
     }
-    if (d->calls_made + 1 > d->control->settings->duty_calls_per_s) {
+    if (d->calls_in_window + 1 > d->control->settings->duty_calls_per_s) {
         return FALSE;
     }
-    d->calls_made++;
+    d->calls_in_window++;
     return TRUE;
 }
 
 gboolean
-duties_send(duties_t *d, duty_encode_t encode, gconstpointer what,
-            duty_answered_t answered, void *user)
+duties_send(duties_t *d, duty_encode_t encode, gconstpointer payload,
+            duty_call_done_t done, void *user)
 {
     const gateway_settings_t *s = d->control->settings;
     duty_stamp_t stamp = {
@@ -204,13 +208,13 @@
         .holder = s->instance,
         .token = duty_lease_token(&d->lease, clock_boot_us()),
     };
-    if (stamp.token == 0 || !rate_allows(d, clock_boot_us())) {
+    if (stamp.token == 0 || !rate_limit_admit(d, clock_boot_us())) {
         return FALSE;
     }
-    GString *bytes = encode(&stamp, what);
+    GString *bytes = encode(&stamp, payload);
     gboolean sent = duty_calls_send(
         d->calls, stamp.token,
-        (str_t){.data = bytes->str, .length = bytes->len}, answered, user);
+        (str_t){.data = bytes->str, .length = bytes->len}, done, user);
     g_string_free(bytes, TRUE);
     return sent;
 }
@@ -225,14 +229,14 @@
     return text;
 }
 
-/* ---- life ---- */
+/* ---- create and destroy ---- */
 
 static void
 on_step(void *data)
 {
     duties_t *d = data;
-    tell_clock(d);
-    if (!d->began) {
+    send_clock(d);
+    if (!d->initialized) {
         return;
     }
     lease_update(d);
@@ -254,7 +258,7 @@
     duty_set_t set;
     if (platform_duties_decode(c->settings->duties, &set) != PLATFORM_OK ||
         !set.any) {
-        return NULL; /* the settings were checked: there are none */
+        return NULL; /* no duties; the settings were validated before */
     }
     duties_t *d = g_new0(duties_t, 1);
     d->control = c;
@@ -271,7 +275,8 @@
     d->clock = site_clock_create();
     d->usage = set.usage ? usage_duty_create(d) : NULL;
     d->capacity = set.capacity ? capacity_duty_create(d) : NULL;
-    d->timer = timers_subscribe(c->timers, STEP_US, STEP_US, on_step, d);
+    d->timer = timers_subscribe(c->timers, STEP_INTERVAL_US, STEP_INTERVAL_US,
+                                on_step, d);
     return d;
 }
 
@@ -287,10 +292,10 @@
 }
 
 void
-duties_take_ledger(duties_t *d, GBytes *bytes)
+duties_apply_ledger(duties_t *d, GBytes *bytes)
 {
     if (d->usage != NULL) {
-        usage_duty_take_ledger(d->usage, bytes);
+        usage_duty_set_ledger(d->usage, bytes);
     }
 }
 
@@ -303,7 +308,7 @@
         text,
         "duties %s, token %" G_GUINT64_FORMAT ", since %ld ms, clocks %u\n",
         token != 0 ? "held" : "not held", d->lease.token,
-        (long)(d->lease.token != 0 ? (now - d->since_us) / MS : 0),
+        (long)(d->lease.token != 0 ? (now - d->acquired_us) / MS : 0),
         site_clock_count(d->clock));
 }
 
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -1,6 +1,6 @@
-/* Requests under way, and the prompt parts that were sent to endpoints: entry
- * instances report theirs here and are told those of all; control instances
- * tell each other what was reported to them. */
+/* Exchange of loads (requests in flight) and of the locations of prompt
+ * parts. Entry instances report theirs here and receive the totals; control
+ * instances send each other what was reported to them. */
 #include "carobloom/common/counters.h"
 #include "carobloom/gateway/load_wire.h"
 #include "carobloom/policy/collector.h"
@@ -8,9 +8,9 @@
 
 enum {
     MS = 1000,
-    /* Sums that did not change are told again after this, so that they are
-     * still counted where they go (collector_report_max_age_ms). */
-    SUMS_SAME_US = 400 * MS,
+    /* Unchanged sums are sent again after this time, before they expire at
+     * the receiver (collector_report_max_age_ms). */
+    SUMS_REFRESH_US = 400 * MS,
 };
 
 void
@@ -18,15 +18,16 @@
 {
     load_report_t report;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = load_report_read(bytes, &report);
+    gboolean valid = load_report_read(bytes, &report);
     g_bytes_unref(bytes);
-    if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+    if (!valid) {
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    if (c->draining) { /* it reports to another one from now on */
+    if (c->draining) {
+        /* The entry instance reports to another control instance. */
         load_report_clear(&report);
-        answer_plain(exchange, 503, "{\"error\":\"ending\"}");
+        answer_json(exchange, 503, "{\"error\":\"ending\"}");
         return;
     }
     gint64 now = control_now(c);
@@ -35,12 +36,12 @@
     part_feed_add(c->own_parts, report.parts);
     part_feed_add(c->parts, report.parts);
     load_answer_t answer = {
-        .ask_ms =
+        .report_interval_ms =
             collector_report_interval_ms(load_sum_reporters(c->own_loads)),
         .loads = load_sum_busiest(c->loads, now),
-        .heard = report.heard,
+        .parts_received = report.parts_received,
     };
-    answer.parts = part_feed_since(c->parts, &answer.heard);
+    answer.parts = part_feed_since(c->parts, &answer.parts_received);
     load_report_clear(&report);
     GBytes *answered = load_answer_write(&answer);
     load_answer_clear(&answer);
@@ -54,50 +55,50 @@
 {
     load_sums_t sums;
     GBytes *bytes = posted_bytes(exchange);
-    gboolean sound = load_sums_read(bytes, &sums);
+    gboolean valid = load_sums_read(bytes, &sums);
     g_bytes_unref(bytes);
-    if (!sound) {
-        answer_plain(exchange, 400, "{\"error\":\"malformed\"}");
+    if (!valid) {
+        answer_json(exchange, 400, "{\"error\":\"malformed\"}");
         return;
     }
-    gboolean taken =
+    gboolean accepted =
         load_sum_apply_changes(c->loads, sums.from, sums.loads, sums.sequence,
                                sums.base, control_now(c));
     part_feed_add(c->parts, sums.parts);
-    traffic_note_place(c->traffic, sums.from, sums.data_centre);
+    traffic_set_data_centre(c->traffic, sums.from, sums.data_centre);
     load_sums_clear(&sums);
-    if (!taken) {
-        answer_plain(exchange, 409, "{\"error\":\"its base is not known\"}");
+    if (!accepted) {
+        answer_json(exchange, 409, "{\"error\":\"its base is not known\"}");
         return;
     }
     http_exchange_answer(exchange, 204, STR(""), STR(""));
 }
 
-/* ---- sums, told to the other control instances ---- */
+/* ---- sums for the other control instances ---- */
 
 GHashTable *
-load_sums_table(void)
+load_deltas_create(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                  (GDestroyNotify)load_delta_destroy);
 }
 
 static load_delta_t *
-delta_of(control_t *c, const char *to)
+delta_find(control_t *c, const char *to)
 {
-    load_delta_t *delta = g_hash_table_lookup(c->told_sums, to);
+    load_delta_t *delta = g_hash_table_lookup(c->peer_load_deltas, to);
     if (delta == NULL) {
         delta = load_delta_create();
-        g_hash_table_insert(c->told_sums, g_strdup(to), delta);
+        g_hash_table_insert(c->peer_load_deltas, g_strdup(to), delta);
     }
     return delta;
 }
 
 static void
-tell_sums(control_t *c, const char *to, GArray *loads, GArray *parts)
+send_sums(control_t *c, const char *to, GArray *loads, GArray *parts)
 {
     gint64 now = control_now(c);
-    load_delta_t *delta = delta_of(c, to);
+    load_delta_t *delta = delta_find(c, to);
     if (load_delta_is_pending(delta)) {
         return;
     }
@@ -109,9 +110,9 @@
                         .base = base,
                         .loads = load_delta_changes(delta, loads),
                         .parts = parts};
-    gboolean news = sums.loads->len > 0 || parts->len > 0;
-    gboolean due = now - load_delta_sent_us(delta) >= SUMS_SAME_US;
-    if (news || due) {
+    gboolean changed = sums.loads->len > 0 || parts->len > 0;
+    gboolean due = now - load_delta_sent_us(delta) >= SUMS_REFRESH_US;
+    if (changed || due) {
         GBytes *bytes = load_sums_write(&sums);
         if (peer_message_post(c, to, PEER_MESSAGE_LOADS,
                               str_from_bytes(bytes))) {
@@ -123,29 +124,29 @@
 }
 
 void
-load_sums_spread(void *data)
+load_sums_send(void *data)
 {
     control_t *c = data;
     if (load_sum_clear_changed(c->own_loads) || c->sorted_loads == NULL) {
         g_clear_pointer(&c->sorted_loads, g_array_unref);
         c->sorted_loads = load_sum_sorted(c->own_loads);
     }
-    GArray *parts = part_feed_since(c->own_parts, &c->told_parts);
+    GArray *parts = part_feed_since(c->own_parts, &c->parts_sent_cursor);
     c->sums_sequence++;
     for (guint i = 0; i < c->view.voters.count; i++) {
         const char *name = c->view.voters.members[i].name;
         if (g_strcmp0(name, c->self) != 0) {
-            tell_sums(c, name, c->sorted_loads, parts);
+            send_sums(c, name, c->sorted_loads, parts);
         }
     }
     g_array_unref(parts);
 }
 
 void
-load_sums_ended(control_t *c, const char *to, gboolean taken)
+load_sums_delivery_ended(control_t *c, const char *to, gboolean accepted)
 {
-    load_delta_t *delta = delta_of(c, to);
-    if (taken) {
+    load_delta_t *delta = delta_find(c, to);
+    if (accepted) {
         load_delta_acknowledged(delta);
     }
     else {
@@ -154,9 +155,9 @@
 }
 
 void
-load_sums_forget(control_t *c)
+load_sums_reset(control_t *c)
 {
-    g_hash_table_remove_all(c->told_sums);
+    g_hash_table_remove_all(c->peer_load_deltas);
 }
 
 void
--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -11,18 +11,20 @@
 
 enum {
     MS = 1000,
-    /* Over the time held: a round trip between regions and a busy instance,
-     * the busier the more ask. One given up too soon asks again and makes it
-     * busier still. */
-    ANSWER_US = 700 * MS,
-    ANSWER_US_AN_ENTRY = 5 * MS,
-    /* For a configuration to come from the leader before another is asked:
-     * a hundred KB over 10 Mbit/s take a tenth of it. */
-    DELIVERY_US = 800 * MS,
-    RETRY_FIRST_US = 50 * MS,
-    RETRY_MOST_US = 800 * MS,
-    /* A control instance that neither answers nor is named is given up. */
-    FORGET_US = 30 * G_USEC_PER_SEC,
+    /* Allowed on top of the time that a poll is held: a round trip between
+     * regions and a busy control instance, which is slower the more entry
+     * instances poll. A poll given up too early is sent again and adds load.
+     */
+    ANSWER_TIMEOUT_US = 700 * MS,
+    ANSWER_TIMEOUT_PER_ENTRY_US = 5 * MS,
+    /* Time for the leader to deliver a configuration before another control
+     * instance is polled for it. 100 KB over 10 Mbit/s take a tenth of it. */
+    DELIVERY_TIMEOUT_US = 800 * MS,
+    RETRY_MIN_US = 50 * MS,
+    RETRY_MAX_US = 800 * MS,
+    /* A control instance is removed after this time without an answer and
+     * without being listed by another one. */
+    LOST_LIFETIME_US = 30 * G_USEC_PER_SEC,
     ANSWER_MAX = 64 * 1024 * 1024,
 };
 
@@ -36,25 +38,25 @@
 struct control_link {
     entry_t *entry;
     char *address;
-    char *data_centre; /* as it says; NULL until then */
-    guint source;      /* bit in the directory */
+    char *data_centre; /* from its answers; NULL until the first */
+    guint source;      /* index in the directory */
     inner_line_t *line;
-    guint64 timer;   /* of the next question */
-    gint64 asked_us; /* clock_boot_us of the question under way */
+    guint64 timer;    /* of the next poll */
+    gint64 polled_us; /* clock_boot_us of the poll in flight */
     gint64 retry_us;
-    gint64 answered_us; /* timers' clock; 0: never */
-    gint64 named_us;    /* last named as a control instance */
+    gint64 answered_us; /* clock of the timers; 0: never */
+    gint64 named_us;    /* last listed as a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
-    guint64 held_cursor;
+    guint64 quarantine_cursor;
     guint64 limit_cursor;
-    gboolean more;  /* leases than its last answer had */
-    gboolean leads; /* it confirmed the configuration */
+    gboolean more;  /* leases remain after its last answer */
+    gboolean leads; /* its last answer confirmed the configuration */
 };
 
 static const inner_line_ops_t LINK_OPS;
-static void link_ask(control_link_t *link);
+static void link_poll(control_link_t *link);
 
 static void
 log_link(const control_link_t *link, const char *event)
@@ -69,11 +71,11 @@
 }
 
 static void
-link_retry(void *data)
+link_poll_due(void *data)
 {
     control_link_t *link = data;
     link->timer = 0;
-    link_ask(link);
+    link_poll(link);
 }
 
 static void
@@ -86,44 +88,45 @@
         link->lost = TRUE;
         log_link(link, "control_lost");
     }
-    link->retry_us = CLAMP(link->retry_us * 2, RETRY_FIRST_US, RETRY_MOST_US);
+    link->retry_us = CLAMP(link->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
     link->timer =
-        timers_subscribe(e->timers, link->retry_us, 0, link_retry, link);
+        timers_subscribe(e->timers, link->retry_us, 0, link_poll_due, link);
 }
 
 static gint64
-answer_us(const entry_t *e)
+answer_timeout_us(const entry_t *e)
 {
-    return ANSWER_US + e->entries * (gint64)ANSWER_US_AN_ENTRY;
+    return ANSWER_TIMEOUT_US +
+           e->entries * (gint64)ANSWER_TIMEOUT_PER_ENTRY_US;
 }
 
-/* ---- an answer ---- */
+/* ---- answers ---- */
 
 static GBytes *
-new_text(const entry_t *e, const sync_answer_t *answer)
+updated_text(const entry_t *e, const sync_answer_t *answer)
 {
     if (answer->base == 0) {
         return text_delta_apply(STR(""), answer->delta);
     }
     if (e->config == NULL || e->config->version != answer->base) {
-        return NULL; /* the base went on meanwhile; the next answer fits */
+        return NULL; /* the base changed; the next answer fits */
     }
     return text_delta_apply(str_from_bytes(e->text), answer->delta);
 }
 
 static gboolean
-take_config(control_link_t *link, const sync_answer_t *answer)
+apply_config(control_link_t *link, const sync_answer_t *answer)
 {
     entry_t *e = link->entry;
     if (answer->delta == NULL ||
         (e->config != NULL && answer->version <= e->config->version)) {
         return TRUE;
     }
-    GBytes *text = new_text(e, answer);
+    GBytes *text = updated_text(e, answer);
     if (text == NULL) {
         return FALSE;
     }
-    gboolean sound = entry_take_config(e, answer->version, text);
+    gboolean sound = entry_apply_config(e, answer->version, text);
     g_bytes_unref(text);
     return sound;
 }
@@ -155,7 +158,7 @@
     return -1;
 }
 
-/* NULL when the address is none. */
+/* Returns NULL if the address is invalid. */
 static control_link_t *
 link_create(entry_t *e, const char *address, guint source)
 {
@@ -192,7 +195,7 @@
         }
         g_ptr_array_add(e->links, link);
         link->named_us = entry_now(e);
-        link_ask(link);
+        link_poll(link);
     }
     if (link != NULL) {
         link->named_us = entry_now(e);
@@ -205,7 +208,7 @@
     entry_t *e = link->entry;
     timers_cancel(e->timers, link->timer);
     inner_line_destroy(link->line);
-    crash_link_forget(e->crash_link, link->address);
+    crash_link_remove_control(e->crash_link, link->address);
     directory_source_reset(e->directory, link->source, entry_now(e));
     g_free(link->address);
     g_free(link->data_centre);
@@ -213,45 +216,45 @@
 }
 
 static void
-forget_silent(entry_t *e)
+expire_lost_links(entry_t *e)
 {
     gint64 now = entry_now(e);
     for (guint i = e->links->len; i > 0; i--) {
         control_link_t *link = e->links->pdata[i - 1];
-        if (link->lost && now - link->named_us > FORGET_US &&
-            now - link->answered_us > FORGET_US) {
+        if (link->lost && now - link->named_us > LOST_LIFETIME_US &&
+            now - link->answered_us > LOST_LIFETIME_US) {
             g_ptr_array_remove_index(e->links, i - 1);
             link_destroy(link);
         }
     }
 }
 
-/* Notes since when a newer version is known to be elsewhere. */
+/* Records when it became known that a newer version exists. */
 static void
-note_version(entry_t *e, guint64 version)
+record_version(entry_t *e, guint64 version)
 {
     guint64 here = e->config != NULL ? e->config->version : 0;
-    if (version > here && e->behind_us == 0) {
-        e->behind_us = entry_now(e);
+    if (version > here && e->newer_config_since_us == 0) {
+        e->newer_config_since_us = entry_now(e);
     }
 }
 
-/* When the answer was surely not written yet, by this instance's clock: the
- * question was held for a while after it was asked. */
+/* The earliest time, by the clock of this instance, at which the answer can
+ * have been written: the poll was held for a while after it was sent. */
 static gint64
-written_us(const control_link_t *link)
+earliest_written_us(const control_link_t *link)
 {
-    gint64 since_us = clock_boot_us() - link->asked_us;
+    gint64 since_us = clock_boot_us() - link->polled_us;
     gint64 held_us = inner_line_held_ms(link->line) * (gint64)MS;
-    return link->asked_us + CLAMP(held_us, 0, since_us);
+    return link->polled_us + CLAMP(held_us, 0, since_us);
 }
 
 static void
-take_answer(control_link_t *link, const sync_answer_t *answer)
+apply_answer(control_link_t *link, const sync_answer_t *answer)
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
-    note_version(e, answer->version);
+    record_version(e, answer->version);
     if (answer->full && link->epoch != answer->epoch) {
         directory_source_reset(e->directory, link->source, now);
     }
@@ -262,29 +265,30 @@
     link->epoch = answer->epoch;
     link->cursor = answer->cursor;
     link->more = answer->more;
-    link->held_cursor = answer->held_cursor;
+    link->quarantine_cursor = answer->quarantine_cursor;
     link->limit_cursor = answer->limit_cursor;
-    crash_link_control(e->crash_link, link->address, answer->epoch);
-    crash_link_take_orders(e->crash_link, answer->held, link->address);
-    limit_link_take(e->limit_link, answer->limits, link->address);
+    crash_link_update_control(e->crash_link, link->address, answer->epoch);
+    crash_link_apply_orders(e->crash_link, answer->quarantine_orders,
+                            link->address);
+    limit_link_apply_limits(e->limit_link, answer->limits, link->address);
     if (answer->confirmed) {
-        limit_link_take_owners(e->limit_link, answer->controls);
+        limit_link_set_owners(e->limit_link, answer->controls);
     }
     link->leads = answer->confirmed;
     g_free(link->data_centre);
     link->data_centre = g_strdup(answer->data_centre);
-    traffic_note_place(e->traffic, link->address, answer->data_centre);
-    gboolean sound = take_config(link, answer);
+    traffic_set_data_centre(e->traffic, link->address, answer->data_centre);
+    gboolean sound = apply_config(link, answer);
     if (sound && answer->confirmed && e->config != NULL &&
         e->config->version >= answer->version) {
-        entry_take_confirmation(e, written_us(link));
+        entry_record_confirmation(e, earliest_written_us(link));
     }
     e->entries = MAX(answer->entries, 1);
-    instance_count_record(&e->sharers, e->entries, now);
+    instance_count_record(&e->sharing_instances, e->entries, now);
     for (guint i = 0; i < answer->controls->len; i++) {
         link_add(e, answer->controls->pdata[i]);
     }
-    forget_silent(e);
+    expire_lost_links(e);
 }
 
 static void
@@ -304,23 +308,23 @@
     link->lost = FALSE;
     link->retry_us = 0;
     link->answered_us = entry_now(e);
-    take_answer(link, &answer);
+    apply_answer(link, &answer);
     sync_answer_clear(&answer);
-    /* The connection is free again only after this call. */
-    link->timer = timers_subscribe(e->timers, 0, 0, link_retry, link);
+    /* The connection is free only after this call returns. */
+    link->timer = timers_subscribe(e->timers, 0, 0, link_poll_due, link);
 }
 
 static void
 on_failed(void *user)
 {
-    link_failed(user); /* asking again is always right */
+    link_failed(user); /* polls are idempotent */
 }
 
 static const inner_line_ops_t LINK_OPS = {.answered = on_answered,
                                           .failed = on_failed};
 
 static gboolean
-any_leads(const entry_t *e)
+has_leader(const entry_t *e)
 {
     for (guint i = 0; i < e->links->len; i++) {
         if (((control_link_t *)e->links->pdata[i])->leads) {
@@ -330,24 +334,26 @@
     return FALSE;
 }
 
-/* A new configuration comes from one control instance, the leader: all of
- * them sending it at once fill a narrow link for seconds. When there is no
- * leader or it does not deliver, another is asked, one at a time. */
+/* A new configuration comes from one control instance, the leader: if all of
+ * them sent it at once, they would fill a narrow link for seconds. If there is
+ * no leader or it does not deliver, the other control instances are polled for
+ * it, one at a time. */
 static gboolean
-takes_config(const control_link_t *link)
+wants_config(const control_link_t *link)
 {
     entry_t *e = link->entry;
     gint64 now = entry_now(e);
-    gboolean late = e->behind_us != 0 && now - e->behind_us > DELIVERY_US;
-    if (any_leads(e) && !late) {
+    gboolean late = e->newer_config_since_us != 0 &&
+                    now - e->newer_config_since_us > DELIVERY_TIMEOUT_US;
+    if (has_leader(e) && !late) {
         return link->leads;
     }
-    guint turn = (guint)(now / DELIVERY_US);
+    guint turn = (guint)(now / DELIVERY_TIMEOUT_US);
     return link == e->links->pdata[turn % e->links->len] || link->leads;
 }
 
 static guint32
-wait_ms_of(const control_link_t *link)
+max_wait_ms(const control_link_t *link)
 {
     const entry_t *e = link->entry;
     sync_pace_t pace = {
@@ -361,7 +367,7 @@
 }
 
 static void
-link_ask(control_link_t *link)
+link_poll(control_link_t *link)
 {
     entry_t *e = link->entry;
     sync_request_t request = {
@@ -369,18 +375,20 @@
         .version = e->config != NULL ? e->config->version : 0,
         .epoch = link->epoch,
         .cursor = link->cursor,
-        .held_cursor = link->held_cursor,
+        .quarantine_cursor = link->quarantine_cursor,
         .limit_cursor = link->limit_cursor,
-        .wait_ms = wait_ms_of(link),
-        .takes_config = takes_config(link),
-        .rest = link->more,
+        .wait_ms = max_wait_ms(link),
+        .wants_config = wants_config(link),
+        .more = link->more,
     };
     GBytes *body = sync_request_write(&request);
-    link->asked_us = clock_boot_us();
-    /* A long answer over a narrow link may take several times as long. */
-    inner_line_set_progress(link->line, answer_us(e));
-    gboolean posted = inner_line_post(link->line, SYNC_PATH, body,
-                                      request.wait_ms * MS + answer_us(e));
+    link->polled_us = clock_boot_us();
+    /* A long answer over a narrow link may take several times as long as the
+     * timeout. */
+    inner_line_set_progress(link->line, answer_timeout_us(e));
+    gboolean posted =
+        inner_line_post(link->line, SYNC_PATH, body,
+                        request.wait_ms * MS + answer_timeout_us(e));
     g_bytes_unref(body);
     if (!posted) {
         link_failed(link);
@@ -390,7 +398,7 @@
 /* ---- all links ---- */
 
 void
-control_links_seed(entry_t *e)
+control_links_add_seeds(entry_t *e)
 {
     for (int i = 0; e->settings->seeds[i] != NULL; i++) {
         const char *seed = e->settings->seeds[i];
