--- a/carobloomd/control/operator_calls.c
+++ b/carobloomd/control/operator_calls.c
@@ -5,16 +5,17 @@
 #include "control_state.h"
 #include "platform.h"
 
-/* An operator's change on its way through the log. */
+/* An operator's change that waits for the log to commit it. */
 typedef struct {
     guint64 call;
     guint64 version;
-    http_exchange_t *exchange; /* NULL once the operator left */
+    http_exchange_t *exchange; /* NULL after the operator disconnected */
 } pending_put_t;
 
-/* Sends the operator on to the leader, or away for a moment. */
+/* Redirects the operator to the leader, or asks for a retry when none is
+ * known. */
 static void
-answer_elsewhere(control_t *c, http_exchange_t *exchange)
+redirect_to_leader(control_t *c, http_exchange_t *exchange)
 {
     const char *leader = c->view.leader;
     const char *port = strrchr(c->settings->control, ':');
@@ -50,15 +51,15 @@
     pending_put_t *put = g_new0(pending_put_t, 1);
     *put = (pending_put_t){
         .call = ++c->last_call, .version = version, .exchange = exchange};
-    g_hash_table_insert(c->puts, &put->call, put);
+    g_hash_table_insert(c->pending_puts, &put->call, put);
     http_exchange_set_data(exchange, put);
     if (task_send(c->log_task,
                   config_put_message(put->call, version,
                                      g_bytes_new(body.data, body.length))) !=
         TASK_OK) {
         http_exchange_set_data(exchange, NULL);
-        g_hash_table_remove(c->puts, &put->call);
-        answer_plain(exchange, 503, "{\"error\":\"the log is busy\"}");
+        g_hash_table_remove(c->pending_puts, &put->call);
+        answer_json(exchange, 503, "{\"error\":\"the log is busy\"}");
     }
 }
 
@@ -72,7 +73,7 @@
         log_put(c, 0, fault);
         json_t *error = json_pack("{s:s}", "error", fault);
         char *text = json_dumps(error, JSON_COMPACT);
-        answer_plain(exchange, 400, text);
+        answer_json(exchange, 400, text);
         free(text);
         json_decref(error);
         g_free(fault);
@@ -81,42 +82,42 @@
     guint64 version = config->version;
     route_config_unref(config);
     if (!c->view.leads || !control_may_read(c)) {
-        answer_elsewhere(c, exchange);
+        redirect_to_leader(c, exchange);
         return;
     }
     if (control_newest(c) != NULL && version <= control_newest_version(c)) {
         log_put(c, version, "not newer, acknowledged");
-        answer_plain(exchange, 200, "{}");
+        answer_json(exchange, 200, "{}");
         return;
     }
     propose(c, exchange, version, body);
 }
 
 void
-handle_result(control_t *c, const config_result_message_t *m)
+handle_put_result(control_t *c, const config_result_message_t *m)
 {
-    pending_put_t *put = g_hash_table_lookup(c->puts, &m->call);
+    pending_put_t *put = g_hash_table_lookup(c->pending_puts, &m->call);
     if (put == NULL) {
         return;
     }
     log_put(c, put->version, m->durable ? "durable" : "not known");
     if (put->exchange != NULL) {
         http_exchange_set_data(put->exchange, NULL);
-        answer_plain(put->exchange, m->durable ? 200 : 503, "{}");
+        answer_json(put->exchange, m->durable ? 200 : 503, "{}");
     }
-    g_hash_table_remove(c->puts, &m->call);
+    g_hash_table_remove(c->pending_puts, &m->call);
 }
 
 void
 handle_config_get(control_t *c, http_exchange_t *exchange)
 {
-    const kept_text_t *text = control_newest(c);
+    const committed_config_t *text = control_newest(c);
     if (!control_may_read(c)) {
-        answer_elsewhere(c, exchange);
+        redirect_to_leader(c, exchange);
         return;
     }
     if (text == NULL) {
-        answer_plain(exchange, 503, "{\"error\":\"no configuration yet\"}");
+        answer_json(exchange, 503, "{\"error\":\"no configuration yet\"}");
         return;
     }
     http_exchange_answer(exchange, 200,
@@ -125,7 +126,7 @@
 }
 
 void
-operator_gone(http_exchange_t *exchange)
+operator_disconnected(http_exchange_t *exchange)
 {
     pending_put_t *put = http_exchange_data(exchange);
     if (put != NULL) {
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -286,7 +286,7 @@
     enum { MESSAGE_BYTES = 80, REQUEST_BYTES = 56, REQUESTS = 4 };
     limit_report_t report = {
         .from = "front-data-centre-1",
-        .asks = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
+        .requests = g_array_new(FALSE, TRUE, sizeof(limit_request_t))};
     directory_t *d = directory_of(SMALL);
     const GPtrArray *all = directory_service(d, "s");
     for (guint i = 0; i < all->len; i++) {
@@ -307,15 +307,15 @@
             endpoint_limit_has_update(e->limit)) {
             limit_request_t ask = {.endpoint = e->hash};
             endpoint_limit_fill_request(e->limit, &ask, 2 * SECOND);
-            g_array_append_val(report.asks, ask);
+            g_array_append_val(report.requests, ask);
         }
     }
-    CU_ASSERT_EQUAL(report.asks->len, REQUESTS);
+    CU_ASSERT_EQUAL(report.requests->len, REQUESTS);
     GBytes *bytes = limit_report_write(&report);
     CU_ASSERT(g_bytes_get_size(bytes) <=
               MESSAGE_BYTES + REQUESTS * REQUEST_BYTES);
     g_bytes_unref(bytes);
-    g_array_unref(report.asks);
+    g_array_unref(report.requests);
     directory_destroy(d);
 }
 
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -301,8 +301,8 @@
     usage_window_t *second = usage_window_create(100);
     usage_window_add(first, "t", 7);
     usage_window_add(second, "t", 8);
-    GBytes *a = usage_fix_command(first);
-    GBytes *b = usage_fix_command(second);
+    GBytes *a = usage_finalize_command(first);
+    GBytes *b = usage_finalize_command(second);
     CU_ASSERT(usage_command_apply(ledger, a));
     CU_ASSERT_FALSE(usage_command_apply(ledger, b));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(ledger), 100);
@@ -315,7 +315,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(unaccepted);
     CU_ASSERT_EQUAL(count_of(unaccepted, "t"), 7);
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 100));
-    GBytes *accept = usage_take_command(100);
+    GBytes *accept = usage_accept_command(100);
     CU_ASSERT(usage_command_apply(restored, accept));
     CU_ASSERT_PTR_NULL(usage_ledger_next_unaccepted(restored, 0));
     CU_ASSERT_EQUAL(usage_ledger_finalized_through(restored), 100);
@@ -365,7 +365,7 @@
     GBytes *older = old_command(6, "{}");
     usage_window_t *w = usage_window_create(100);
     usage_window_add(w, "t", 7);
-    GBytes *finalize = usage_fix_command(w);
+    GBytes *finalize = usage_finalize_command(w);
     GBytes *command = log_usage_command(finalize);
     CU_ASSERT_EQUAL(log_state_apply(&state, empty), 0);
     CU_ASSERT_EQUAL(log_state_apply(&state, old), LOG_STATE_CONFIG);
