--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -294,7 +294,7 @@
 void
 control_reload(control_t *c, const gateway_settings_t *settings)
 {
-    crash_ledger_set_memory(c->crashes, crash_memory_us(settings));
+    crash_ledger_set_retention(c->crashes, crash_memory_us(settings));
 }
 
 static const task_ops_t LOG_OPS = {.name = "config-log",
--- a/include/carobloom/policy/crash_ledger.h
+++ b/include/carobloom/policy/crash_ledger.h
@@ -43,11 +43,11 @@
 /* Creates an array of quarantine_order_t that frees its members. */
 GArray *quarantine_orders_new(void);
 
-/* Creates a ledger that keeps ends for `memory_us`, and quarantines a request
- * for as long after the last end that it caused. */
-crash_ledger_t *crash_ledger_create(gint64 memory_us);
+/* Creates a ledger that keeps ends for `retention_us`, and quarantines a
+ * request for as long after the last end that it caused. */
+crash_ledger_t *crash_ledger_create(gint64 retention_us);
 void crash_ledger_destroy(crash_ledger_t *ledger);
-void crash_ledger_set_memory(crash_ledger_t *ledger, gint64 memory_us);
+void crash_ledger_set_retention(crash_ledger_t *ledger, gint64 retention_us);
 /* Records an end. Runs of an end that was already recorded are added to it. */
 void crash_ledger_record_end(crash_ledger_t *ledger, const endpoint_end_t *end,
                              gint64 now_us);
--- a/include/carobloom/policy/endpoint_limit.h
+++ b/include/carobloom/policy/endpoint_limit.h
@@ -71,12 +71,12 @@
     gint64 owner_rate_us;
     /* Responses to requests sent up to this time don't set a limit. */
     gint64 lifted_us;
-    gboolean lifted_by_response; /* received by this instance */
-    gboolean disputed;           /* the owner still regards it as in force */
-    gboolean update_due;         /* to the owner */
-    gboolean relay_report_due;   /* to the relay, while the owner is lost */
-    gint64 relay_reported_us;    /* time of the last report to the relay */
-    guint tokens;                /* granted sends that are not used yet */
+    gboolean lifted_by_response;  /* received by this instance */
+    gboolean owner_still_limited; /* the owner still regards it as in force */
+    gboolean update_due;          /* to the owner */
+    gboolean relay_report_due;    /* to the relay, while the owner is lost */
+    gint64 relay_reported_us;     /* time of the last report to the relay */
+    guint tokens;                 /* granted sends that are not used yet */
     gint64 tokens_expire_us;
     guint wanted;     /* sends, granted or not, since the last request */
     gint64 denied_us; /* when a send was last denied; 0: never */
--- a/include/carobloom/policy/limit_share.h
+++ b/include/carobloom/policy/limit_share.h
@@ -17,9 +17,9 @@
 typedef struct {
     gint64 decayed_us; /* time of the last decay */
     double span_s;     /* period that the counts cover */
-    double grants;
-    double granted;             /* sends */
-    double wanted[LIMIT_RANKS]; /* 0 is the most urgent */
+    double grant_count;
+    double granted_sends;             /* sends */
+    double wanted_sends[LIMIT_RANKS]; /* 0 is the most urgent */
 } limit_share_t;
 
 /* Granted sends that may be used now. */
--- a/include/carobloom/policy/placement.h
+++ b/include/carobloom/policy/placement.h
@@ -57,13 +57,13 @@
 /* Endpoints of the service, counted by the first reason why each of them could
  * not take a request. */
 typedef struct {
-    guint known;    /* all endpoints of the service */
-    guint unusable; /* draining, or without a valid lease */
-    guint tried;    /* already tried by this request */
-    guint full;     /* refused a request recently */
-    guint limited;  /* at a limit that they named, without a granted send */
-    guint no_slot;  /* have as many requests as finish in time */
-    guint closed;   /* failed recently; used only when no other is left */
+    guint known;      /* all endpoints of the service */
+    guint unusable;   /* draining, or without a valid lease */
+    guint tried;      /* already tried by this request */
+    guint full;       /* refused a request recently */
+    guint limited;    /* at a limit that they named, without a granted send */
+    guint no_slot;    /* have as many requests as finish in time */
+    guint in_backoff; /* failed recently; used only when no other is left */
 } placement_counts_t;
 
 typedef struct {
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -12,7 +12,7 @@
     /* Rivals are quarantined together after this many ends. With the two
      * probes that follow, the cause is sent three times after its third end,
      * which is the most that operators accept. */
-    TIED_ENDS_MIN = 4,
+    RIVALS_QUARANTINE_ENDS_MIN = 4,
     /* A request is confirmed as the cause after this many probes during which
      * its endpoint ended. One may be coincidence: it left a wrong request
      * quarantined in 2 of 300 simulated histories. */
@@ -73,7 +73,7 @@
 } suspect_t;
 
 struct crash_ledger {
-    gint64 memory_us;
+    gint64 retention_us;
     GHashTable *ends;     /* key -> end_record_t */
     GQueue by_age;        /* end_record_t, the oldest at the head */
     GHashTable *suspects; /* fingerprint -> suspect_t */
@@ -122,10 +122,10 @@
 }
 
 crash_ledger_t *
-crash_ledger_create(gint64 memory_us)
+crash_ledger_create(gint64 retention_us)
 {
     crash_ledger_t *l = g_new0(crash_ledger_t, 1);
-    l->memory_us = memory_us;
+    l->retention_us = retention_us;
     l->ends = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, end_free);
     l->suspects =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, suspect_free);
@@ -145,9 +145,9 @@
 }
 
 void
-crash_ledger_set_memory(crash_ledger_t *l, gint64 memory_us)
+crash_ledger_set_retention(crash_ledger_t *l, gint64 retention_us)
 {
-    l->memory_us = memory_us;
+    l->retention_us = retention_us;
 }
 
 /* ---- suspects ---- */
@@ -239,7 +239,8 @@
 order_update(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
     s->order_cursor = ++l->cursor;
-    s->order_expires_us = MAX(now_us, s->quarantined_until_us) + l->memory_us;
+    s->order_expires_us =
+        MAX(now_us, s->quarantined_until_us) + l->retention_us;
     if (s->link != NULL) {
         g_queue_unlink(&l->orders, s->link);
         g_queue_push_tail_link(&l->orders, s->link);
@@ -319,7 +320,7 @@
             s->ends[i].end->cause = s->fingerprint;
         }
     }
-    quarantine(l, s, now_us + l->memory_us, now_us);
+    quarantine(l, s, now_us + l->retention_us, now_us);
 }
 
 /* Confirms an uncertain suspect as the cause, and releases uncertain suspects
@@ -331,7 +332,7 @@
 {
     clear_uncertain(l, s);
     s->confirmed = TRUE;
-    s->quarantined_until_us = now_us + l->memory_us;
+    s->quarantined_until_us = now_us + l->retention_us;
     order_update(l, s, now_us);
     for (guint i = 0; i < s->count; i++) {
         s->ends[i].end->cause = s->fingerprint;
@@ -489,7 +490,7 @@
     s->endpoints = g_strdup(order->endpoints);
     s->since_us = now_us - order->since_us;
     s->uncertain = order->uncertain;
-    quarantine(l, s, now_us + MIN(order->left_us, l->memory_us), now_us);
+    quarantine(l, s, now_us + MIN(order->left_us, l->retention_us), now_us);
     s->probed_us = now_us - PROBE_US; /* due for a probe at once */
 }
 
@@ -577,14 +578,16 @@
         g_hash_table_remove(l->due, s);
         return FALSE;
     }
-    gboolean tied = weight >= TIED_ENDS_MIN * WEIGHT_BEGINNING;
-    if (now_us < s->due_us && !tied) {
+    gboolean quarantine_rivals =
+        weight >= RIVALS_QUARANTINE_ENDS_MIN * WEIGHT_BEGINNING;
+    if (now_us < s->due_us && !quarantine_rivals) {
         return FALSE;
     }
     /* One rival is enough to postpone a decision, and there may be thousands.
      */
-    GPtrArray *rivals = rivals_of(l, s, tied ? END_REQUESTS_MAX : 1, now_us);
-    gboolean quarantined = rivals->len == 0 || tied;
+    GPtrArray *rivals =
+        rivals_of(l, s, quarantine_rivals ? END_REQUESTS_MAX : 1, now_us);
+    gboolean quarantined = rivals->len == 0 || quarantine_rivals;
     if (quarantined) {
         g_ptr_array_add(rivals, s);
         for (guint i = 0; i < rivals->len; i++) {
@@ -634,7 +637,7 @@
 {
     end_record_t *end;
     while ((end = g_queue_peek_head(&l->by_age)) != NULL &&
-           now_us - end->recorded_us > l->memory_us) {
+           now_us - end->recorded_us > l->retention_us) {
         end_remove(l, g_queue_pop_head(&l->by_age));
     }
 }
@@ -651,7 +654,7 @@
         if (s->quarantined_until_us != 0 &&
             now_us >= s->quarantined_until_us) {
             s->quarantined_until_us = 0;
-            s->probation_until_us = now_us + l->memory_us;
+            s->probation_until_us = now_us + l->retention_us;
             s->count = 0;
             l->quarantined--;
             clear_uncertain(l, s);
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -4,7 +4,7 @@
     MS = 1000,
     /* How long an instance trusts its own responses over the owner's state,
      * which may not include its update yet. */
-    OWNER_LAG_US = 500 * MS,
+    OWNER_STATE_LAG_US = 500 * MS,
     WANTED_MAX = 1000,
     /* Interval of reports to the relay while responses still carry the limit;
      * well below the time after which the relay discards a limit. */
@@ -71,7 +71,7 @@
     l->limited = FALSE;
     l->lifted_us = lifted_us;
     l->lifted_by_response = by_response;
-    l->disputed = FALSE;
+    l->owner_still_limited = FALSE;
     drop_tokens(l);
     return LIMIT_LIFTED;
 }
@@ -107,9 +107,9 @@
 limit_change_t
 endpoint_limit_record_unlimited(endpoint_limit_t *l, gint64 sent_us)
 {
-    if (l->disputed && sent_us > l->lifted_us) {
+    if (l->owner_still_limited && sent_us > l->lifted_us) {
         l->lifted_us = sent_us;
-        l->disputed = FALSE;
+        l->owner_still_limited = FALSE;
         set_update_due(l);
     }
     if (!l->limited || sent_us <= MAX(l->rate_received_us, l->owner_rate_us)) {
@@ -128,9 +128,9 @@
     }
     if (!l->limited) {
         gboolean settled =
-            l->lifted_us == 0 || now_us - l->lifted_us >= OWNER_LAG_US;
+            l->lifted_us == 0 || now_us - l->lifted_us >= OWNER_STATE_LAG_US;
         if (!state->limited || !settled) {
-            l->disputed = state->limited;
+            l->owner_still_limited = state->limited;
             return LIMIT_UNCHANGED;
         }
         begin_limit(l, state->rate);
@@ -138,7 +138,7 @@
         return LIMIT_BEGUN;
     }
     if (l->rate_received_us != 0 &&
-        now_us - l->rate_received_us < OWNER_LAG_US) {
+        now_us - l->rate_received_us < OWNER_STATE_LAG_US) {
         l->relay_report_due = l->relay_report_due || !state->limited;
         return LIMIT_UNCHANGED;
     }
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -253,9 +253,10 @@
 static void
 grantee_settle(limit_t *l, grantee_t *g, const limit_request_t *request)
 {
-    guint gone = g->outstanding - MIN(g->outstanding, request->outstanding);
+    guint spent_or_returned =
+        g->outstanding - MIN(g->outstanding, request->outstanding);
     guint64 used = request->used - MIN(request->used, g->used);
-    l->credit += gone - MIN(gone, used);
+    l->credit += spent_or_returned - MIN(spent_or_returned, used);
     l->outstanding = l->outstanding - g->outstanding + request->outstanding;
     g->outstanding = request->outstanding;
     g->used = request->used;
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -26,10 +26,10 @@
     double decay_factor = exp(-elapsed_s / DECAY_S);
     s->decayed_us = now_us;
     s->span_s = s->span_s * decay_factor + DECAY_S * (1 - decay_factor);
-    s->grants *= decay_factor;
-    s->granted *= decay_factor;
+    s->grant_count *= decay_factor;
+    s->granted_sends *= decay_factor;
     for (guint i = 0; i < LIMIT_RANKS; i++) {
-        s->wanted[i] *= decay_factor;
+        s->wanted_sends[i] *= decay_factor;
     }
 }
 
@@ -40,15 +40,15 @@
         return;
     }
     decay(s, now_us);
-    s->grants++;
-    s->granted += count;
+    s->grant_count++;
+    s->granted_sends += count;
 }
 
 void
 limit_share_record_wanted(limit_share_t *s, guint rank, gint64 now_us)
 {
     decay(s, now_us);
-    s->wanted[MIN(rank, LIMIT_RANKS - 1)]++;
+    s->wanted_sends[MIN(rank, LIMIT_RANKS - 1)]++;
 }
 
 static double
@@ -56,7 +56,7 @@
 {
     double wanted = 0;
     for (guint i = 0; i < MIN(rank, LIMIT_RANKS - 1); i++) {
-        wanted += s->wanted[i];
+        wanted += s->wanted_sends[i];
     }
     return wanted;
 }
@@ -72,12 +72,12 @@
     double span_s = MAX(s->span_s, SPAN_MIN_S);
     double wanted = wanted_by_more_urgent(s, rank);
     double wanted_rate = wanted / span_s;
-    if (wanted >= s->granted && wanted_rate >= FREQUENT_RATE) {
+    if (wanted >= s->granted_sends && wanted_rate >= FREQUENT_RATE) {
         return TRUE; /* more urgent requests would use all sends */
     }
     double left_s = (double)tokens->left_us / G_USEC_PER_SEC;
-    if (s->grants > 0) {
-        left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grants);
+    if (s->grant_count > 0) {
+        left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grant_count);
     }
     double expected = wanted_rate * left_s;
     return tokens->count < 1 - EXPECTED_MIN + expected;
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -456,7 +456,7 @@
 typedef struct {
     const placement_request_t *request;
     part_ranking_t ranking; /* of the request's shared parts */
-    gboolean closed;
+    gboolean in_backoff;
     gint64 now_us;
     placement_t best;
     double best_cost_ms;
@@ -492,8 +492,8 @@
     if (!is_eligible(e, c->request, candidate, counts, c->now_us)) {
         return FALSE;
     }
-    if (endpoint_available(e, c->now_us) == c->closed) {
-        counts->closed += !c->closed;
+    if (endpoint_available(e, c->now_us) == c->in_backoff) {
+        counts->in_backoff += !c->in_backoff;
         return FALSE;
     }
     return TRUE;
@@ -596,7 +596,7 @@
 
 static placement_t
 pick_among(const GPtrArray *endpoints, const placement_request_t *r,
-           gboolean closed, gint64 now_us)
+           gboolean in_backoff, gint64 now_us)
 {
     partition_t partition = partition_of(endpoints, r);
     choice_t c = {
@@ -604,7 +604,7 @@
         .ranking = part_ranking_build(endpoints, partition,
                                       placement_shared_part(r).id,
                                       placement_prefix_part(r).id, now_us),
-        .closed = closed,
+        .in_backoff = in_backoff,
         .now_us = now_us,
         .best = {.counts = {.known = endpoints->len}},
     };
--- a/policy/quarantine.c
+++ b/policy/quarantine.c
@@ -2,7 +2,7 @@
 
 /* More than one control instance quarantines, because several may order
  * different requests. An entry takes about 150 bytes: 1.2 MB. */
-enum { QUARANTINED_MAX = 8192 };
+enum { ENTRIES_MAX = 8192 };
 
 /* Minimum time between two probes of a request. Several control instances
  * order the same probe within a second, and all know its outcome by then. */
@@ -40,7 +40,7 @@
 static quarantined_request_t *
 entry_add(quarantine_t *q, guint64 fingerprint)
 {
-    if (g_hash_table_size(q->entries) >= QUARANTINED_MAX) {
+    if (g_hash_table_size(q->entries) >= ENTRIES_MAX) {
         return NULL;
     }
     quarantined_request_t *entry = g_new0(quarantined_request_t, 1);
