--- a/include/carobloom/policy/crash_ledger.h
+++ b/include/carobloom/policy/crash_ledger.h
@@ -1,19 +1,20 @@
 /* Detects requests that crash the endpoints that run them, from ends of
  * endpoints and the requests that were running there.
  *
- * An end is a process of an endpoint that ended without announcing it. Each
- * entry instance knows only a part of what ran on an endpoint that ended, so
- * every entry instance reports to every control instance, and each control
- * instance keeps a ledger of its own. The ledgers need no agreement: reports
- * only add up, and an entry instance quarantines a request that any ledger
- * orders to be quarantined.
+ * An end is the unannounced end of an endpoint's process. Each entry
+ * instance knows only a part of what ran on an endpoint that ended, so every
+ * entry instance reports to every control instance, and each control instance
+ * keeps a ledger of its own. The ledgers need no agreement: reports only add
+ * up, and an entry instance quarantines a request that any ledger orders to be
+ * quarantined.
  *
  * A request is the cause if enough endpoints ended while running it and none
- * has answered it since. Other requests ran beside it at its first ends, so
- * each end counts for one cause only. Of two requests that were at the same
- * ends, neither is quarantined until further ends distinguish them. If none
- * do, both are quarantined as uncertain. A request is also uncertain if there
- * are ends besides its own that nothing else explains. Uncertain requests are
+ * has answered it since. Other requests were running on the same endpoints,
+ * so each end is attributed to one cause only. If two requests were running
+ * when the same endpoints ended, neither is quarantined until a further end
+ * distinguishes them. If none does, both are quarantined as uncertain. A
+ * quarantined request is also uncertain while there are ends at which neither
+ * it nor another quarantined request was running. Uncertain requests are
  * probed one at a time, each by one entry instance, until a response or
  * another end decides. Pure. */
 #ifndef CAROBLOOM_POLICY_CRASH_LEDGER_H
@@ -28,9 +29,9 @@
 /* An order to quarantine a request, or to release it. */
 typedef struct {
     guint64 fingerprint;
-    gint64 left_us;       /* remaining time in quarantine; 0: released */
-    gint64 since_us;      /* time since the first end it was at */
-    char *endpoints;      /* ids of the ended endpoints, comma-separated */
+    gint64 left_us;  /* remaining time in quarantine; 0: released */
+    gint64 since_us; /* time since the first end of an endpoint that ran it */
+    char *endpoints; /* ids of the ended endpoints, comma-separated */
     gboolean uncertain;   /* may not be the cause, and is probed soon */
     guint probe;          /* number of the probe in which one instance may send
                              the request once, counts up; 0: none */
@@ -47,12 +48,13 @@
  * request for as long after the last end that it caused. */
 crash_ledger_t *crash_ledger_create(gint64 retention_us);
 void crash_ledger_destroy(crash_ledger_t *ledger);
+/* Changes how long ends are kept, and how long new quarantines last. */
 void crash_ledger_set_retention(crash_ledger_t *ledger, gint64 retention_us);
 /* Records an end. Runs of an end that was already recorded are added to it. */
 void crash_ledger_record_end(crash_ledger_t *ledger, const endpoint_end_t *end,
                              gint64 now_us);
-/* Records that an endpoint answered the request completely, which clears it of
- * all ends up to now. */
+/* Records that an endpoint answered the request completely, which removes
+ * it as a suspect of all ends recorded so far. */
 void crash_ledger_record_answered(crash_ledger_t *ledger, guint64 fingerprint,
                                   gint64 now_us);
 /* Restores an order that was stored across a restart. */
--- a/include/carobloom/policy/endpoint_limit.h
+++ b/include/carobloom/policy/endpoint_limit.h
@@ -3,8 +3,11 @@
  * An endpoint announces its limit in a response. The limit applies to all
  * entry instances together, so an instance that knows of a limit sends only
  * requests that the limit's owner, a control instance, granted beforehand (see
- * limit_quota.h). A limit is lifted only by a response without a limit, to a
- * request that was sent after the limit was last announced. Pure. */
+ * limit_quota.h). While no owner replies, an instance sends a small share of
+ * the limit without grants, and reports the limit to another control instance,
+ * the relay, which publishes it to all instances. A limit is lifted only by a
+ * response without a limit, to a request that was sent after the limit was
+ * last announced. Pure. */
 #ifndef CAROBLOOM_POLICY_ENDPOINT_LIMIT_H
 #define CAROBLOOM_POLICY_ENDPOINT_LIMIT_H
 
@@ -58,8 +61,9 @@
     LIMIT_LIFTED,
 } limit_change_t;
 
-/* All zero for an endpoint that never announced a limit. Times are in us, by
- * the clock of this instance. */
+/* All zero for an endpoint that never announced a limit. Times are in us, on
+ * the clock of the `now_us` that the caller passes to these functions. That
+ * clock has to include suspensions of the machine, so that grants expire. */
 typedef struct {
     gboolean limited;
     double rate;
@@ -72,17 +76,18 @@
     /* Responses to requests sent up to this time don't set a limit. */
     gint64 lifted_us;
     gboolean lifted_by_response;  /* received by this instance */
-    gboolean owner_still_limited; /* the owner still regards it as in force */
-    gboolean update_due;          /* to the owner */
-    gboolean relay_report_due;    /* to the relay, while the owner is lost */
+    gboolean owner_still_limited; /* lifted here, in force at the owner */
+    gboolean update_due;          /* the owner needs the new state */
+    gboolean relay_report_due;    /* used while no owner replies */
     gint64 relay_reported_us;     /* time of the last report to the relay */
     guint tokens;                 /* granted sends that are not used yet */
     gint64 tokens_expire_us;
     guint wanted;     /* sends, granted or not, since the last request */
     gint64 denied_us; /* when a send was last denied; 0: never */
-    gboolean tokens_dropped; /* the owner doesn't know yet */
-    guint64 used;            /* granted sends */
-    guint64 used_reported;   /* `used` as of the last grant request */
+    /* Granted sends expired or were dropped; the owner doesn't know yet. */
+    gboolean tokens_dropped;
+    guint64 used;          /* granted sends */
+    guint64 used_reported; /* `used` as of the last grant request */
     /* Time of the next send while the owner doesn't reply; 0: it replies. */
     gint64 ownerless_send_us;
     /* For logs and diagnostic pages. */
@@ -122,7 +127,7 @@
 void endpoint_limit_fill_request(endpoint_limit_t *limit,
                                  limit_request_t *request, gint64 now_us);
 /* Returns whether a report to the relay is due. The relay publishes reports to
- * all instances while the owner is lost. */
+ * all instances while the owner doesn't reply. */
 gboolean endpoint_limit_has_report(const endpoint_limit_t *limit);
 /* Fills in the state from responses, and requests no grants. */
 void endpoint_limit_fill_report(endpoint_limit_t *limit,
--- a/include/carobloom/policy/limit_quota.h
+++ b/include/carobloom/policy/limit_quota.h
@@ -35,8 +35,8 @@
 void limit_quota_apply_report(limit_quota_t *quota,
                               const limit_request_t *request, gint64 now_us);
 /* Removes expired grants, and limits without a recent request or report. Entry
- * instances keep their own state of these and send it with their next request.
- */
+ * instances keep their own state of a removed limit and send it with their
+ * next request. */
 void limit_quota_expire(limit_quota_t *quota, gint64 now_us);
 /* Increases whenever a limit begins, changes or is lifted. */
 guint64 limit_quota_cursor(const limit_quota_t *quota);
--- a/include/carobloom/policy/limit_retry.h
+++ b/include/carobloom/policy/limit_retry.h
@@ -7,7 +7,7 @@
 #include <glib.h>
 
 typedef struct {
-    gint64 last_retry_us; /* when the last refused caller is to retry */
+    gint64 last_retry_us; /* when the latest refused caller is to retry */
 } limit_retry_t;
 
 /* Returns how long the next refused caller should wait, in ms. `rate` is the
--- a/include/carobloom/policy/limit_share.h
+++ b/include/carobloom/policy/limit_share.h
@@ -15,11 +15,11 @@
 
 /* Counts that decay exponentially over seconds. Initially all zero. */
 typedef struct {
-    gint64 decayed_us; /* time of the last decay */
-    double span_s;     /* period that the counts cover */
-    double grant_count;
-    double granted_sends;             /* sends */
-    double wanted_sends[LIMIT_RANKS]; /* 0 is the most urgent */
+    gint64 decayed_us;  /* time of the last decay */
+    double span_s;      /* period that the counts cover */
+    double grant_count; /* grants of any number of sends */
+    double granted_sends;
+    double wanted_sends[LIMIT_RANKS]; /* by rank; 0 is the most urgent */
 } limit_share_t;
 
 /* Granted sends that may be used now. */
@@ -35,8 +35,8 @@
  * endpoint. */
 void limit_share_record_wanted(limit_share_t *share, guint rank,
                                gint64 now_us);
-/* Returns whether a request of this rank leaves `tokens` to more urgent ones.
- */
+/* Returns whether a request of this rank must not use `tokens`, because they
+ * are reserved for more urgent requests. */
 gboolean limit_share_yields(limit_share_t *share, guint rank,
                             const limit_tokens_t *tokens, gint64 now_us);
 
--- a/include/carobloom/policy/load_sum.h
+++ b/include/carobloom/policy/load_sum.h
@@ -10,7 +10,7 @@
 
 /* Requests in flight at one endpoint, from one entry instance or from all. */
 typedef struct {
-    guint64 endpoint; /* hash of its id */
+    guint64 endpoint; /* hash of the endpoint's id and incarnation */
     guint32 running;
     guint32 prompt_tokens;  /* of the whole prompts of these requests */
     guint32 waiting_tokens; /* to be read before their first events */
@@ -48,8 +48,9 @@
 GArray *load_sum_sorted(const load_sum_t *sum);
 /* The sums of the busiest endpoints, which are sent to entry instances. All
  * others count as idle, so the size of an answer is bounded however many
- * endpoints there are. The caller unrefs the array. It is sorted anew only so
- * often that sorting takes a bounded fraction of the time. */
+ * endpoints there are. The caller unrefs the array. The minimum interval
+ * between two sorts grows with the number of endpoints, so that sorting takes
+ * a bounded fraction of processor time. */
 GArray *load_sum_busiest(load_sum_t *sum, gint64 now_us);
 /* Whether a report was recorded or removed since the last call. */
 gboolean load_sum_clear_changed(load_sum_t *sum);
--- a/include/carobloom/policy/part_feed.h
+++ b/include/carobloom/policy/part_feed.h
@@ -4,8 +4,9 @@
  * Requests for the same part nearly always arrive at different entry
  * instances, so no instance knows from its own requests alone which engines
  * cache the part. With the reports of all instances the part is fetched from
- * such an engine, in a twentieth of the time of reading it again. The feed
- * keeps the latest records; a lost record costs one more reading of a
+ * such an engine, which takes a fourteenth to a twentieth of the time of
+ * reading it again, depending on the rates of the engine and of its link. The
+ * feed keeps the latest records; a lost record costs one more reading of a
  * part. Pure. */
 #ifndef CAROBLOOM_POLICY_PART_FEED_H
 #define CAROBLOOM_POLICY_PART_FEED_H
@@ -17,7 +18,7 @@
 /* A part that an endpoint was sent and did not have before. */
 typedef struct {
     guint64 part;
-    guint64 endpoint; /* hash of the endpoint */
+    guint64 endpoint; /* hash of the endpoint's id and incarnation */
 } part_copy_t;
 
 typedef struct part_feed part_feed_t;
--- a/include/carobloom/policy/placement.h
+++ b/include/carobloom/policy/placement.h
@@ -6,12 +6,13 @@
  * of a prompt part by the same rendezvous hash, and deviate from that ranking
  * only when the first endpoint is loaded or unhealthy.
  *
- * Reading a long prompt delays the tokens of all streams on the same engine.
- * The engines of a service are therefore partitioned, in the same order at all
- * instances: the first ones serve long prompts, the others short prompts. The
- * number of requests that an engine takes is bounded by the requests that all
- * instances have in flight there, so that accepted requests finish in time and
- * the others are rejected at once and can be retried. Pure. */
+ * Reading a long prompt (prefill) delays the tokens of all streams on the same
+ * engine. The engines of a service are therefore partitioned, in the same
+ * order at all instances: the first ones serve long prompts, the others short
+ * prompts. The number of requests that an engine takes is bounded by the
+ * requests that all instances have in flight there, so that accepted requests
+ * finish in time and the others are rejected at once and can be retried.
+ * Pure. */
 #ifndef CAROBLOOM_POLICY_PLACEMENT_H
 #define CAROBLOOM_POLICY_PLACEMENT_H
 
@@ -47,23 +48,27 @@
     const char *data_centre;                      /* of this instance */
     const endpoint_t *tried[PLACEMENT_TRIED_MAX]; /* not to be chosen again */
     guint tried_count;
-    /* Endpoints that named a limit are not chosen, so that their granted sends
-     * are left to more urgent requests. */
+    /* Endpoints with a rate limit are not chosen, because the sends granted
+     * for them are reserved for more urgent requests. */
     gboolean yields;
-    gint64 limits_now_us; /* on the clock of endpoint_limit_t */
-    guint32 draw;         /* random; start of the sample of endpoints */
+    /* Current time for endpoint_limit_t, whose times come from another clock
+     * than `now_us` of placement_pick(): one that includes suspensions. */
+    gint64 limits_now_us;
+    guint32 draw; /* random; start of the sample of endpoints */
 } placement_request_t;
 
 /* Endpoints of the service, counted by the first reason why each of them could
  * not take a request. */
 typedef struct {
-    guint known;      /* all endpoints of the service */
-    guint unusable;   /* draining, or without a valid lease */
-    guint tried;      /* already tried by this request */
-    guint full;       /* refused a request recently */
-    guint limited;    /* at a limit that they named, without a granted send */
+    guint known;    /* all endpoints of the service */
+    guint unusable; /* draining, or without a valid lease */
+    guint tried;    /* already tried by this request */
+    guint full;     /* refused a request recently */
+    /* Have a rate limit, and either no send is granted or the granted sends
+     * are reserved for more urgent requests (`yields`). */
+    guint limited;
     guint no_slot;    /* have as many requests as finish in time */
-    guint in_backoff; /* failed recently; used only when no other is left */
+    guint in_backoff; /* failed recently; chosen only when no other is left */
 } placement_counts_t;
 
 typedef struct {
@@ -79,7 +84,8 @@
     placement_counts_t counts;
 } placement_t;
 
-/* Whether limits named by endpoints are the main reason for a rejection. */
+/* Whether limits announced by endpoints are the main reason for a rejection.
+ */
 gboolean placement_is_limited(const placement_counts_t *counts);
 /* The reason for a rejection, as text for people. */
 const char *placement_reason(const placement_counts_t *counts);
--- a/include/carobloom/policy/prompt_mix.h
+++ b/include/carobloom/policy/prompt_mix.h
@@ -11,7 +11,7 @@
 /* Statistics of the long or of the short prompts. */
 typedef struct {
     gint64 target_ms; /* of the latest prompt's first event */
-    guint priority;   /* most urgent one so far; 0 is the most urgent */
+    guint priority; /* of the most urgent prompt ever; 0 is the most urgent */
     /* prompts that arrived at this instance, exponentially decayed */
     double arrivals;
     double tokens;      /* of these prompts, decayed alike */
--- a/include/carobloom/policy/repeat_budget.h
+++ b/include/carobloom/policy/repeat_budget.h
@@ -1,9 +1,11 @@
-/* Budget for requests that are sent a second time, per service.
+/* Budget for repeats, per service. A repeat is a further send of a request by
+ * the same entry instance, to another endpoint.
  *
- * All instances share a budget without a common counter: each spends a
- * fraction of its own first sends, and its share of the fixed slack by the
- * number of instances. The sum over all instances then stays within the
- * budget. */
+ * Unlike a retry_budget_t (limits.h), which each instance keeps for itself,
+ * the budget bounds the repeats of all instances together. All instances share
+ * a budget without a common counter: each spends a fraction of its own first
+ * sends, and its share of the fixed slack by the number of instances. The sum
+ * over all instances then stays within the budget. */
 #ifndef CAROBLOOM_POLICY_REPEAT_BUDGET_H
 #define CAROBLOOM_POLICY_REPEAT_BUDGET_H
 
--- a/policy/collector.c
+++ b/policy/collector.c
@@ -3,12 +3,14 @@
 #include "carobloom/policy/rendezvous.h"
 
 enum {
-    /* Half the time in which an engine reads a long prompt: the load known of
-     * an engine then misses at most one prompt that other instances sent. */
+    /* Half the time in which an engine reads a long prompt: the reported
+     * load of an engine then lacks at most one prompt that other instances
+     * sent. */
     REPORT_INTERVAL_MIN_MS = 100,
-    /* A report takes a control instance about 0.05 ms, so all reports to one
-     * take at most 3.4% of a core: 67 entry instances at 100 ms, or 600 with
-     * nine control instances. Above that, the interval grows. */
+    /* A control instance processes a report in about 0.05 ms, so all reports
+     * to one control instance take at most 3.4% of a core: 67 entry instances
+     * at 100 ms, or 600 with nine control instances. Above that, the interval
+     * grows. */
     REPORT_INTERVAL_US_PER_REPORTER = 1500,
     /* Number of reports that may be lost or late before an instance is
      * considered dead and its requests ended. */
--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -9,13 +9,13 @@
     /* Two requests that share this many ends are rivals: only a further end
      * can tell which is the cause. */
     RIVAL_SHARED_ENDS_MIN = 2,
-    /* Rivals are quarantined together after this many ends. With the two
-     * probes that follow, the cause is sent three times after its third end,
-     * which is the most that operators accept. */
+    /* Rivals are quarantined together after this many ends. After its third
+     * end, the cause is then sent three more times, the most that operators
+     * accept: once at the fourth end, and in two probes. */
     RIVALS_QUARANTINE_ENDS_MIN = 4,
     /* A request is confirmed as the cause after this many probes during which
-     * its endpoint ended. One may be coincidence: it left a wrong request
-     * quarantined in 2 of 300 simulated histories. */
+     * its endpoint ended. One may be coincidence and, in rare cases (2 of
+     * 300 cases), would leave a wrong request quarantined. */
     FAILED_PROBES_MIN = 2,
     /* Duration of a probe; there is one at a time. Within it the caller
      * retries, the request is answered or cut off, and all control instances
@@ -325,8 +325,8 @@
 
 /* Confirms an uncertain suspect as the cause, and releases uncertain suspects
  * that were only at its ends. A confirmed suspect doesn't become uncertain
- * again while it is quarantined: that would send the cause a fourth time, as
- * in 9 of 20,000 simulated histories. */
+ * again while it is quarantined: otherwise, in rare cases (9 of
+ * 20,000), the cause would be sent a fourth time. */
 static void
 confirm_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
@@ -550,9 +550,9 @@
 }
 
 /* Requests that crash endpoints are rare. If several are quarantined, or there
- * are unexplained ends, some of them were probably at their three ends by
- * coincidence: so it was in 59 of 300 simulated histories with an unrelated
- * end every five seconds. Each stays uncertain until it was probed. */
+ * are unexplained ends, some of them probably ran at their three ends by
+ * coincidence: with an unrelated end every five seconds, this happens in one
+ * case of five. Each stays uncertain until it has been probed. */
 static void
 mark_quarantined_uncertain(crash_ledger_t *l, gint64 now_us)
 {
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -16,9 +16,9 @@
 
 const double LIMIT_SEND_RATE_MIN = 0.6;
 
-/* Share of the limit for all instances together that no owner replies to.
- * Added to what an owner may grant to the other instances, it stays below the
- * limit's bound. */
+/* Fraction of the limit that all instances without a reply from the owner may
+ * use together. Added to what an owner may grant to the other instances, it
+ * stays below the limit's bound. */
 static const double OWNERLESS_FRACTION = 0.15;
 
 /* Granted sends are kept unless the rate falls below this fraction of the
--- a/policy/engine_split.c
+++ b/policy/engine_split.c
@@ -4,11 +4,12 @@
 
 /* Applies until loads are reported. */
 static const double INITIAL_LONG_FRACTION = 0.6;
-/* A kind of prompts has enough engines while its waiting prompts are read
- * within this fraction of its objective, so that a first event is in time even
- * behind a queue of twice the mean length, and while no more than this
- * fraction of the slots is used. */
+/* A kind of prompts needs enough engines to read its waiting prompts within
+ * this fraction of the objective of its first events, so that a first event is
+ * in time even behind a queue of twice the mean length. */
 static const double QUEUE_TARGET_FRACTION = 0.2;
+/* A kind needs enough engines for its running requests to use no more than
+ * this fraction of the slots. */
 static const double SLOTS_USED_FRACTION = 0.7;
 /* Each kind keeps some engines in case of a burst. */
 static const double LONG_FRACTION_MIN = 0.2;
@@ -34,10 +35,10 @@
     return s->updated_us == 0 ? INITIAL_LONG_FRACTION : s->applied;
 }
 
-/* Engines needed for no stream of a kind to pause too long: the prompts that
- * arrive within the pause objective have to be read within it. Tolerates three
- * standard deviations above the mean number of arrivals: the maximum that can
- * be read in time is mean + 3 * sqrt(mean). */
+/* Engines needed to keep pauses in the streams of a kind within its pause
+ * objective: the prompts that arrive within that time have to be read within
+ * it. Tolerates three standard deviations above the mean number of arrivals:
+ * the maximum that can be read in time is mean + 3 * sqrt(mean). */
 static double
 engines_for_pauses(const kind_load_t *load, const split_demand_t *d)
 {
@@ -46,6 +47,7 @@
     }
     double pause_ms = (double)load->pause_ms;
     double max_prompts = pause_ms * d->tokens_per_ms / load->prompt_tokens;
+    /* solution of mean + 3 * sqrt(mean) = max_prompts for sqrt(mean) */
     double mean_root = (sqrt(9 + 4 * max_prompts) - 3) / 2;
     double needed = load->arrivals_per_s * pause_ms / 1000 /
                     MAX(mean_root * mean_root, 0.1);
--- a/policy/instance_count.c
+++ b/policy/instance_count.c
@@ -1,7 +1,9 @@
 #include "carobloom/policy/instance_count.h"
 
-/* A restarted control instance counts all instances that send requests to it
- * within seconds; a partitioned one does once the partition heals. */
+/* The estimate falls only after the reported count has been lower for one to
+ * two windows. That is longer than a restarted control instance needs to count
+ * the instances again, which send requests to it within seconds. A partitioned
+ * one counts them again once the partition heals. */
 enum { WINDOW_US = 30 * 1000 * 1000 };
 
 void
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -20,9 +20,10 @@
 /* Share of the limit that is granted in the long run. */
 static const double GRANT_FRACTION = 0.95;
 /* Bound on outstanding grants plus credit: seconds of the limit's rate, and a
- * fixed number of sends. With the refill of 4 s this allows 5.05 times the
- * rate plus 2.2 sends, while endpoints tolerate 6 times the rate plus 5. The
- * rest is left to instances that no owner replies to. */
+ * fixed number of sends. In any 4 s, the bound and the refill together allow
+ * 5.05 times the rate plus 2.2 sends, while endpoints tolerate 6 times the
+ * rate plus 5. The remainder is for instances without a reply from the
+ * owner. */
 static const double CREDIT_MAX_S = 1.25;
 static const double CREDIT_MAX_EXTRA = 2.2;
 /* A rate is published again when it changed by more than this fraction. */
@@ -153,7 +154,8 @@
 static void
 apply_owner_rate(limit_quota_t *q, limit_t *l, const limit_request_t *request)
 {
-    if (l->change_cursor == 0) { /* that owner is gone or dropped the limit */
+    /* 0: unknown here, because its previous owner ended or removed it. */
+    if (l->change_cursor == 0) {
         l->state.rate = request->rate;
         publish(q, l, TRUE);
     }
@@ -262,7 +264,8 @@
     g->used = request->used;
 }
 
-/* Grants an equal share of the credit to each grantee that wants grants. */
+/* Grants the grantee up to `wanted` sends from the credit, at most its equal
+ * share among the grantees that want grants. Returns the number of sends. */
 static guint32
 grantee_grant(limit_t *l, grantee_t *g, guint32 wanted, gint64 now_us)
 {
@@ -407,7 +410,7 @@
         const limit_t *l = value;
         g_string_append_printf(
             text,
-            "limit of %016" G_GINT64_MODIFIER "x: %s%s %.2f a second, %u "
+            "limit of %016" G_GINT64_MODIFIER "x: %s%s %.2f per second, %u "
             "granted, %.1f available, %u instances ask, %u want grants, last "
             "request %ld ms ago\n",
             l->state.endpoint, l->owned ? "" : "relayed, ",
--- a/policy/limit_retry.c
+++ b/policy/limit_retry.c
@@ -3,8 +3,8 @@
 enum {
     MS = 1000,
     WAIT_MIN_MS = 200,
-    /* Callers wait at most a third of their timeout, so a longer delay would
-     * not make them retry any later. */
+    /* Callers cap the delay at a third of their timeout, which is assumed to
+     * be 15 s. A longer delay would have no effect. */
     WAIT_MAX_MS = 5000,
 };
 
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -7,13 +7,15 @@
 static const double DECAY_S = 2;
 /* Counts over a shorter period are too few for an estimate. */
 static const double SPAN_MIN_S = 0.5;
-/* Sends that urgent requests use are granted again within this number of
- * grants, so the demand of a longer period needs no reserve. */
+/* Sends are reserved for the demand until this number of further grants has
+ * arrived: those grants replace the sends that urgent requests use, so later
+ * demand needs no reserve. */
 static const double GRANTS_AHEAD = 3;
-/* The last send is reserved if more than this number of more urgent requests
- * is expected. */
+/* One send is reserved for each expected more urgent request. The expected
+ * number is rounded up if its fraction exceeds this value, else down. */
 static const double EXPECTED_MIN = 0.15;
-/* More urgent requests per second: one per lifetime of a grant. */
+/* Minimum rate of more urgent requests, per second, at which they may get all
+ * granted sends: one per lifetime of a grant. */
 static const double FREQUENT_RATE = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
 
 static void
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -18,6 +18,7 @@
 /* Cost at a failure rate of 1: the request is lost, or retried after a
  * multiple of its objective. */
 static const double FAILURE_COST_MS = 400.0;
+/* Cost of an endpoint that started recently and is still slow. */
 static const double COLD_COST_MS = 30.0;
 /* Cost of a new connection to a plain server: a round trip and the server's
  * work on it. It is less than that of one request in flight, so it only
@@ -27,8 +28,9 @@
 /* Reading a shared part again uses up engine time, so it is priced at this
  * multiple of that time. */
 static const double REREAD_WEIGHT = 3.0;
-/* Fetching a part from another engine is priced too, though it takes a
- * fourteenth of the time of reading it. */
+/* A fetch of a part from another engine is priced at this multiple of its
+ * time. It takes a fourteenth to a twentieth of the time of reading the part,
+ * depending on the rates of the engine and of its link. */
 static const double FETCH_WEIGHT = 3.0;
 
 /* Prompts that an engine reads in one go delay its streams. Limits that delay
@@ -44,7 +46,7 @@
 static const double SHORT_FULL_COST_MS = 100.0;
 static const double SHORT_FULL_MIN_FRACTION = 0.5;
 /* A short prompt for which no ranked endpoint is good enough takes the best of
- * this many endpoints, sampled at random from its partition. */
+ * this many consecutive endpoints of its partition, from a random start. */
 static const guint SHORT_SAMPLE_MAX = 4;
 /* Extra cost to a short prompt that leaves the homes of its shared part, as a
  * fraction of the cost of reading the part again. A fetch finds the part on
@@ -66,28 +68,32 @@
 
 /* Fractions of an engine's slots that requests may take. While an engine keeps
  * reading prompts, a token takes ten times as long, and long answers would not
- * finish in time. Short prompts may wait for a moment. */
+ * finish in time. */
 static const double LONG_HOME_SLOTS_FRACTION = 0.85;
 /* Fraction of an engine's memory that the prompts running there may take, in
  * tokens. Above it, engines evict widely shared parts and read them again, and
  * engines with many slots read so much that no stream finishes in time. */
 static const double LONG_MEMORY_FRACTION = 0.6;
-/* A long prompt leaves its home when the queue there exceeds these fractions
- * of its objective: the first for the fallback home of its shared parts, the
- * second for another engine of its partition. The second is larger, so that
- * few engines cache a part. The slot fractions bound the long prompts on
- * engines that are not a home, inside and outside the partition. */
+/* A long prompt goes to the fallback home of its shared parts when the queue
+ * at its home exceeds this fraction of its objective. */
 static const double LONG_FALLBACK_TARGET_FRACTION = 0.4;
+/* The same for an engine that is neither home. Larger than for the fallback
+ * home, so that few engines cache a part. */
 static const double LONG_NOT_HOME_TARGET_FRACTION = 0.7;
+/* Fractions of an engine's slots that long prompts may take where neither home
+ * is: inside their partition, and outside it. */
 static const double LONG_NOT_HOME_SLOTS_FRACTION = 0.15;
 static const double LONG_OTHER_PARTITION_SLOTS_FRACTION = 0.1;
-/* A long prompt that would delay streams goes to no engine where streams of
- * short prompts use more than this fraction of the slots, not even in its own
- * partition: the partition boundary has just moved across that engine. */
+/* A long prompt that would delay streams goes to no engine of its partition
+ * where short prompts use more than this fraction of the slots: the partition
+ * boundary has just moved across that engine. Outside its partition, a single
+ * short prompt in flight excludes the engine. */
 static const double SHORT_RUNNING_SLOTS_FRACTION = 0.15;
+/* Short prompts may wait for a slot for a moment, so an engine takes more of
+ * them than it has slots. */
 static const double SHORT_SLOTS_FRACTION = 1.2;
 /* With four requests per slot of a plain server, a request waits for three
- * times the work of one: 45 ms of an objective of 100. */
+ * times the work of one: 45 ms of an objective of 100 ms. */
 static const double PLAIN_SLOTS_FRACTION = 4.0;
 
 guint
@@ -203,7 +209,9 @@
                                             : e->running;
 }
 
-/* Total tokens of the prompts of those requests. */
+/* Tokens of the prompts of the requests that all instances have in flight at
+ * the endpoint. While the loads of the others are unknown, each is assumed to
+ * have as many as this instance, for short prompts too. */
 static guint64
 estimated_prompt_tokens(const endpoint_t *e, const placement_request_t *r)
 {
@@ -308,10 +316,13 @@
 /* Cost of sending the request to an engine, in ms of its own waiting time and
  * of the delay for others.
  *
- * Only this instance's requests in flight are counted: the loads of the others
- * are known a few hundred ms late, so if all instances chose the endpoint that
- * they all see as the least loaded, it would become the most loaded. Terms for
- * choices among few endpoints count the requests of all instances. */
+ * Requests in flight count for this instance only, and so do waiting tokens in
+ * the cost of a short prompt: the loads of the others are known a few hundred
+ * ms late, so if all instances chose the endpoint that they all see as the
+ * least loaded, it would become the most loaded. A long prompt chooses among
+ * few endpoints, so its cost counts the waiting tokens of all instances. The
+ * penalties for delayed streams, nearly full engines and short prompts on the
+ * engine also count the requests of all instances. */
 static double
 engine_cost_ms(const endpoint_t *e, const placement_request_t *r,
                candidate_t candidate)
@@ -357,9 +368,10 @@
     return e->running * PLAIN_REQUEST_COST_MS + connect;
 }
 
-/* Whether the endpoint has no cost for its data centre. A remote home of the
- * shared parts has none: the engine time that is saved by not reading them
- * again outweighs the distance, and a request is few bytes. */
+/* Whether the endpoint has no cost for its data centre. A home or fallback
+ * home of the shared parts has none even if it is remote: the engine time that
+ * is saved by not reading them again outweighs the distance, and a request is
+ * few bytes. */
 static gboolean
 is_local_or_home(const endpoint_t *e, const placement_request_t *r,
                  candidate_t candidate)
@@ -407,7 +419,8 @@
     return counter == NULL;
 }
 
-/* Whether the endpoint's limit keeps the request from being sent there. */
+/* Whether the endpoint's limit keeps the request from being sent there: no
+ * send is granted, or granted sends are reserved for more urgent requests. */
 static gboolean
 is_limited(const endpoint_t *e, const placement_request_t *r)
 {
@@ -440,7 +453,8 @@
 /* How many endpoints of a partition a request samples, besides those ranked
  * for its shared parts. The loads of other instances are known late, so if all
  * instances chose the least loaded endpoint, they would overload it. Instead
- * each chooses the least loaded of a few random ones. */
+ * each chooses the least loaded of a few consecutive ones, from a random
+ * start. */
 static guint
 sample_max(const placement_request_t *r)
 {
@@ -451,8 +465,8 @@
                                             : SHORT_SAMPLE_MAX;
 }
 
-/* State of one choice: the best endpoint so far, among those that are open or
- * among those that are closed after failures. */
+/* State of one choice: the best endpoint so far, either among the available
+ * endpoints or, with `in_backoff`, among those in backoff after failures. */
 typedef struct {
     const placement_request_t *request;
     part_ranking_t ranking; /* of the request's shared parts */
@@ -546,10 +560,10 @@
     }
 }
 
-/* Considers random endpoints of a partition until `max_count` of them can take
- * the request. With `count_rejected`, endpoints that can't take it count too,
- * so that not all instances find the only idle endpoint of many at the same
- * time. */
+/* Considers consecutive endpoints of a partition, from a random start, until
+ * `max_count` of them can take the request. With `count_rejected`, endpoints
+ * that can't take it count too, so that not all instances find the only idle
+ * endpoint of many at the same time. */
 static void
 choice_consider_sample(choice_t *c, const GPtrArray *endpoints,
                        partition_t partition, gboolean in_partition,
@@ -636,7 +650,7 @@
                gint64 now_us)
 {
     placement_t best = pick_among(endpoints, r, FALSE, now_us);
-    /* If all remaining endpoints are closed after failures, one of them is
+    /* If all remaining endpoints are in backoff after failures, one of them is
      * still better than none. But it is worse than a retry at a healthy
      * endpoint whose limit denied the request. */
     if (best.endpoint != NULL || best.denied != NULL) {
--- a/policy/prompt_mix.c
+++ b/policy/prompt_mix.c
@@ -10,8 +10,8 @@
 /* For this long after its first request, an instance can't know whether it
  * will get long prompts: at 13 requests a second, one in seven of them long,
  * one would have arrived by then. Without a partition, chats that begin in the
- * first second share their engines with long prompts until they end, and miss
- * their deadline (48 of 2,120 chats on 9 engines under heavy load). */
+ * first second share their engines with long prompts until they end, and under
+ * heavy load some of them (2%) miss their deadline. */
 static const gint64 LONG_PROMPT_DETECTION_US = 10 * G_USEC_PER_SEC;
 
 gboolean
@@ -23,8 +23,9 @@
 /* Time constant of the decay of arrivals. */
 static const double ARRIVALS_DECAY_S = 1.5;
 
-/* Weight of the latest prompt in the mean. One of 300 instances gets one long
- * prompt a second. */
+/* Weight of the latest prompt in the mean, so that about the last twenty
+ * count. One of 300 instances gets one long prompt per second: for it, the
+ * mean covers about twenty seconds. */
 static const double MEAN_WEIGHT = 0.05;
 
 static double
--- a/policy/quarantine.c
+++ b/policy/quarantine.c
@@ -1,7 +1,8 @@
 #include "carobloom/policy/quarantine.h"
 
-/* More than one control instance quarantines, because several may order
- * different requests. An entry takes about 150 bytes: 1.2 MB. */
+/* Twice the number of requests that one control instance quarantines, because
+ * several control instances may order different ones. An entry takes about 150
+ * bytes: 1.2 MB in total. */
 enum { ENTRIES_MAX = 8192 };
 
 /* Minimum time between two probes of a request. Several control instances
--- a/policy/run_history.c
+++ b/policy/run_history.c
@@ -1,6 +1,7 @@
 #include "carobloom/policy/run_history.h"
 
-/* Each instance answers a popular request many times within this time. A
+/* A request that was answered within this time counts as harmless. Each
+ * instance answers a popular request many times within this time. A
  * request that begins to crash a new release of its endpoints goes undetected
  * for this long. */
 static const gint64 ANSWERED_TIMEOUT_US = 10 * G_USEC_PER_SEC;
