--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/crash_ledger.h"
 
 enum {
-    MS = 1000,
+    US_PER_MS = 1000,
     /* Ends after which a request is the cause. One may be coincidence, and so
      * may two if the caller retries at once; each further end costs an
      * endpoint and all requests that run there. */
@@ -20,7 +20,7 @@
     /* Duration of a probe; there is one at a time. Within it the caller
      * retries, the request is answered or cut off, and all control instances
      * learn the outcome. */
-    PROBE_US = 3000 * MS,
+    PROBE_US = 3000 * US_PER_MS,
     /* Weight of an end: half if the response had been streaming for long,
      * because a request that crashes its endpoint does so as it begins. */
     WEIGHT_BEGINNING = 2,
@@ -28,7 +28,7 @@
     /* Delay between reaching the threshold and the evaluation, in which the
      * other entry instances report what ran there as well. A tenth of the
      * three seconds within which all instances must know the result. */
-    SETTLE_US = 300 * MS,
+    EVALUATION_DELAY_US = 300 * US_PER_MS,
     /* Memory bounds: 33,000 suspects of 260 bytes, 8 MB. The requests of an
      * end may include those that waited as well as those in slots. */
     ENDS_MAX = 128,
@@ -228,7 +228,7 @@
 {
     if (s->quarantined_until_us == 0 && s->due_us == 0 &&
         suspect_weight(s) >= suspect_threshold(s, now_us)) {
-        s->due_us = now_us + SETTLE_US;
+        s->due_us = now_us + EVALUATION_DELAY_US;
         g_hash_table_add(l->due, s);
     }
 }
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -1,17 +1,17 @@
 #include "carobloom/policy/endpoint_limit.h"
 
 enum {
-    MS = 1000,
+    US_PER_MS = 1000,
     /* How long an instance trusts its own responses over the owner's state,
      * which may not include its update yet. */
-    OWNER_STATE_LAG_US = 500 * MS,
+    OWNER_STATE_LAG_US = 500 * US_PER_MS,
     WANTED_MAX = 1000,
     /* Interval of reports to the relay while responses still carry the limit;
      * well below the time after which the relay discards a limit. */
-    RELAY_REPORT_US = 2000 * MS,
+    RELAY_REPORT_US = 2000 * US_PER_MS,
     /* How long a denied send is a reason to request grants: its caller
      * retries, or the next caller arrives, within that time. */
-    DENIED_US = 1000 * MS,
+    DENIED_US = 1000 * US_PER_MS,
 };
 
 const double LIMIT_SEND_RATE_MIN = 0.6;
@@ -235,7 +235,7 @@
     if (at_us == 0) {
         return LIMIT_AGE_UNKNOWN;
     }
-    return (guint32)CLAMP((now_us - at_us) / MS, 0, G_MAXINT32);
+    return (guint32)CLAMP((now_us - at_us) / US_PER_MS, 0, G_MAXINT32);
 }
 
 static void
@@ -282,7 +282,8 @@
 endpoint_limit_apply_grant(endpoint_limit_t *l, const limit_grant_t *grant,
                            gint64 requested_us, gint64 now_us)
 {
-    gint64 until_us = requested_us + (gint64)LIMIT_GRANT_LIFETIME_MS * MS;
+    gint64 until_us =
+        requested_us + (gint64)LIMIT_GRANT_LIFETIME_MS * US_PER_MS;
     l->ownerless_send_us = 0;
     limit_change_t change =
         endpoint_limit_apply_state(l, &grant->state, now_us);
--- a/policy/limit_quota.c
+++ b/policy/limit_quota.c
@@ -3,18 +3,18 @@
 #include <string.h>
 
 enum {
-    MS = 1000,
+    US_PER_MS = 1000,
     /* A grant is used within LIMIT_GRANT_LIFETIME_MS or returned with the next
      * request, which may be up to a second late. */
-    GRANT_EXPIRY_US = (LIMIT_GRANT_LIFETIME_MS + 1000) * MS,
+    GRANT_EXPIRY_US = (LIMIT_GRANT_LIFETIME_MS + 1000) * US_PER_MS,
     /* An instance that requested grants within this time gets a share of what
      * is granted. */
-    WANTING_US = 1000 * MS,
-    GRANTEE_TIMEOUT_US = 10 * 1000 * MS,
-    OWNED_TIMEOUT_US = 60 * 1000 * MS,
+    WANTING_US = 1000 * US_PER_MS,
+    GRANTEE_TIMEOUT_US = 10 * 1000 * US_PER_MS,
+    OWNED_TIMEOUT_US = 60 * 1000 * US_PER_MS,
     /* A relayed limit is kept until instances without an owner have sent to
      * the endpoint and it has announced its limit again. */
-    RELAYED_TIMEOUT_US = 30 * 1000 * MS,
+    RELAYED_TIMEOUT_US = 30 * 1000 * US_PER_MS,
 };
 
 /* Share of the limit that is granted in the long run. */
@@ -169,8 +169,10 @@
         apply_owner_rate(q, l, request);
         return;
     }
-    gint64 request_sent_us = now_us - request->request_age_ms * (gint64)MS;
-    gint64 rate_received_us = now_us - request->rate_age_ms * (gint64)MS;
+    gint64 request_sent_us =
+        now_us - request->request_age_ms * (gint64)US_PER_MS;
+    gint64 rate_received_us =
+        now_us - request->rate_age_ms * (gint64)US_PER_MS;
     if (l->lifted_us != 0 && request_sent_us <= l->lifted_us) {
         return;
     }
@@ -189,7 +191,8 @@
 apply_lifted(limit_quota_t *q, limit_t *l, const limit_request_t *request,
              gint64 now_us)
 {
-    gint64 request_sent_us = now_us - request->request_age_ms * (gint64)MS;
+    gint64 request_sent_us =
+        now_us - request->request_age_ms * (gint64)US_PER_MS;
     if (request->request_age_ms == LIMIT_AGE_UNKNOWN ||
         request_sent_us <= l->rate_received_us ||
         request_sent_us <= l->lifted_us) {
@@ -253,7 +256,7 @@
 /* Grants that the grantee neither used nor has outstanding were returned or
  * never reached it, and go back to the credit. */
 static void
-grantee_settle(limit_t *l, grantee_t *g, const limit_request_t *request)
+grantee_reconcile(limit_t *l, grantee_t *g, const limit_request_t *request)
 {
     guint spent_or_returned =
         g->outstanding - MIN(g->outstanding, request->outstanding);
@@ -296,7 +299,7 @@
     g->wanted_us = request->wanted > 0 ? now_us : g->wanted_us;
     apply_report(q, l, request, now_us);
     grantee_expire(l, g, now_us);
-    grantee_settle(l, g, request);
+    grantee_reconcile(l, g, request);
     credit_refill(l, now_us);
     limit_grant_t reply = {.state = l->state};
     if (l->state.limited) {
@@ -416,7 +419,7 @@
             l->state.endpoint, l->owned ? "" : "relayed, ",
             l->state.limited ? "in force," : "lifted,", l->state.rate,
             l->outstanding, l->credit, g_hash_table_size(l->grantees),
-            l->wanting, (long)((now_us - l->requested_us) / MS));
+            l->wanting, (long)((now_us - l->requested_us) / US_PER_MS));
     }
 }
 
