--- a/tests/test_engine_split.c
+++ b/tests/test_engine_split.c
@@ -200,11 +200,11 @@
 }
 
 static const test_case_t CASES[] = {
-    {"engines divided by need", test_split},
-    {"engines divided by whole ones", test_split_is_steady},
-    {"what engines do is learned", test_engine_model},
+    {"engines are divided in proportion to need", test_split},
+    {"the boundary moves by whole engines", test_split_is_steady},
+    {"the engine model learns from requests", test_engine_model},
     {"long prompts are remembered", test_prompt_mix},
-    {"what arrives is counted", test_arrivals},
+    {"arrivals are counted", test_arrivals},
 };
 
 CHECK_MAIN("engine split", CASES)
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -260,12 +260,12 @@
 } collector_case_t;
 
 static const collector_case_t COLLECTOR_CASES[] = {
-    {"its own data centre first", 2, 0, 0x3},
-    {"the other one of it", 2, 0x1, 0x2},
-    {"elsewhere when all of it are silent", 2, 0x3, 0x1fc},
-    {"none of it", 0, 0, 0x1ff},
-    {"the last that answers", 3, 0xff, 0x100},
-    {"none", 3, 0x1ff, 0},
+    {"local instances first", 2, 0, 0x3},
+    {"the other local instance", 2, 0x1, 0x2},
+    {"a remote instance if no local one answers", 2, 0x3, 0x1fc},
+    {"no local instances", 0, 0, 0x1ff},
+    {"the only instance that answers", 3, 0xff, 0x100},
+    {"no instance answers", 3, 0x1ff, 0},
 };
 
 static void
@@ -747,19 +747,20 @@
 }
 
 static const test_case_t CASES[] = {
-    {"messages are read as written", test_messages},
-    {"sums are read as written", test_sums_message},
-    {"parts that were sent are told once", test_part_feed},
-    {"whom an instance reports to", test_collectors},
-    {"instances spread evenly", test_collectors_even},
+    {"messages decode to what was encoded", test_messages},
+    {"sums decode to what was encoded", test_sums_message},
+    {"each sent part is reported once", test_part_feed},
+    {"choice of the control instance to report to", test_collectors},
+    {"reports spread evenly over control instances", test_collectors_even},
     {"sums follow reports", test_sums},
     {"loads are summed", test_load_sum},
-    {"what is known is young at any size", test_ages},
-    {"changes of sums, some of them lost", test_changes},
-    {"a change of what is not known", test_changes_of_another_base},
-    {"what changed is told, not what is so", test_changes_cost},
-    {"the busiest endpoints are told", test_busiest},
-    {"what counts as busy, and how often", test_busiest_order},
+    {"reported loads are recent with any number of instances", test_ages},
+    {"changes of sums, some messages lost", test_changes},
+    {"changes since an unknown message are refused",
+     test_changes_of_another_base},
+    {"only changes are sent", test_changes_cost},
+    {"the busiest endpoints are reported", test_busiest},
+    {"order of busy endpoints, and interval of sorting", test_busiest_order},
 };
 
 CHECK_MAIN("loads", CASES)
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -293,10 +293,10 @@
         guint load_scale; /* 0: loads are known */
         gboolean stays_home;
     } MEMORIES[] = {
-        {"this one alone", 0, 0, TRUE},
-        {"all together too much", FULL_OTHERS, 0, FALSE},
-        {"not known, few instances", 0, 2, TRUE},
-        {"not known, many", 0, 8, FALSE},
+        {"only this instance has requests", 0, 0, TRUE},
+        {"requests of all instances exceed the memory", FULL_OTHERS, 0, FALSE},
+        {"loads unknown, few instances", 0, 2, TRUE},
+        {"loads unknown, many instances", 0, 8, FALSE},
     };
     for (gsize i = 0; i < G_N_ELEMENTS(MEMORIES); i++) {
         directory_t *d = engines_create();
@@ -773,30 +773,33 @@
 }
 
 static const test_case_t CASES[] = {
-    {"short prompts at the keepers of their part", test_short_at_homes},
-    {"a large prompt at the next keeper", test_large_at_fallback_home},
-    {"pauses guarded from long prompts", test_pauses_guarded},
-    {"what a full home leaves to the next keeper", test_fallback_home},
-    {"a home on the other side of the border", test_former_home},
-    {"long prompts and short ones are kept apart", test_partitions},
-    {"sessions stay where their prompts are", test_affinity},
-    {"failing endpoints are left", test_failing},
-    {"long prompts take so many places", test_slots},
+    {"short prompts go to the homes of their part", test_short_at_homes},
+    {"a large prompt goes to the fallback home", test_large_at_fallback_home},
+    {"long prompts don't delay streams", test_pauses_guarded},
+    {"the fallback home takes what a full home can't", test_fallback_home},
+    {"a former home in the other partition", test_former_home},
+    {"long and short prompts have partitions", test_partitions},
+    {"sessions stay at engines that cache their prompts", test_affinity},
+    {"failing endpoints are avoided", test_failing},
+    {"slots for long prompts are bounded", test_slots},
     {"prompts fetched from another engine", test_fetching},
-    {"parts fetched from whom the others sent them", test_fetch_from_source},
-    {"connections are used again", test_connections_used},
-    {"the part before one that is new", test_fetch_prefix},
-    {"parts fetched from an engine that leaves", test_fetch_from_draining},
-    {"places of prompts without a home", test_slots_without_home},
-    {"places by an engine's memory", test_slots_by_memory},
-    {"an engine's memory is that of all instances", test_memory_of_all},
+    {"parts fetched from endpoints that other instances used",
+     test_fetch_from_source},
+    {"connections are reused", test_connections_used},
+    {"the part before a new part is fetched", test_fetch_prefix},
+    {"parts fetched from a draining engine", test_fetch_from_draining},
+    {"slots for prompts without a home", test_slots_without_home},
+    {"requests bounded by an engine's memory", test_slots_by_memory},
+    {"memory use counts the prompts of all instances", test_memory_of_all},
     {"a queue at a prompt's home", test_queue_at_home},
-    {"places without word of the others", test_slots_without_loads},
+    {"slots while loads of other instances are unknown",
+     test_slots_without_loads},
     {"loads of the other instances", test_loads_of_others},
-    {"an endpoint that refuses all", test_refusing},
-    {"a home that named a limit", test_limited_home},
-    {"all endpoints named limits", test_all_limited},
-    {"a limit beside endpoints that failed", test_limited_beside_closed},
+    {"an endpoint that refuses all requests", test_refusing},
+    {"a home that announced a limit", test_limited_home},
+    {"all endpoints announced limits", test_all_limited},
+    {"a limited endpoint beside endpoints in backoff",
+     test_limited_beside_closed},
 };
 
 CHECK_MAIN("placement", CASES)
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -896,10 +896,10 @@
     {"bursts of either kind", test_bursts},
     {"few instances and many", test_many_instances},
     {"half of the prompts share a part", test_hot_part},
-    {"parts told among instances", test_parts_reported},
+    {"instances report parts to each other", test_parts_reported},
     {"expected first events", test_expected_first_events},
-    {"the busiest engines are told", test_busiest_reported},
-    {"engines that name limits, and the others", test_limited_engines},
+    {"only the busiest engines are reported", test_busiest_reported},
+    {"engines with and without announced limits", test_limited_engines},
 };
 
 CHECK_MAIN("placement under load", CASES)
