--- a/include/carobloom/policy/limit_share.h
+++ b/include/carobloom/policy/limit_share.h
@@ -22,7 +22,7 @@
     double wanted_sends[LIMIT_RANKS]; /* by rank; 0 is the most urgent */
 } limit_share_t;
 
-/* Granted sends that may be used now. */
+/* Granted sends that may be used now, not tokens of prompts. */
 typedef struct {
     guint count;
     gint64 left_us; /* until the last of them expires */
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -697,7 +697,7 @@
     directory_destroy(d);
 }
 
-/* A home that named a limit is skipped while no send is granted, and is used
+/* A home that announced a limit is skipped while no send is granted, and is used
  * again once one is granted or the limit ends. */
 static void
 test_limited_home(void)
@@ -731,7 +731,7 @@
 /* Requests that a limit keeps from the only healthy endpoint must not be sent
  * to failing endpoints instead, one after the other. */
 static void
-test_limited_beside_closed(void)
+test_limited_beside_backoff(void)
 {
     directory_t *d = engines_create();
     const GPtrArray *all = directory_service(d, "s");
@@ -799,7 +799,7 @@
     {"a home that announced a limit", test_limited_home},
     {"all endpoints announced limits", test_all_limited},
     {"a limited endpoint beside endpoints in backoff",
-     test_limited_beside_closed},
+     test_limited_beside_backoff},
 };
 
 CHECK_MAIN("placement", CASES)
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -270,7 +270,7 @@
 }
 
 /* Records denied requests, for which the owner of the limits will be asked for
- * grants, and sends to engines that named a limit. */
+ * grants, and sends to engines that announced a limit. */
 static void
 record_limits(simulation_t *p, const placement_t *placed, double now_ms)
 {
@@ -833,7 +833,7 @@
               on_time[REPORTED_NONE][KIND_LONG]);
 }
 
-/* The maximum number of sends within 4 s to an engine that named a limit. */
+/* The maximum number of sends within 4 s to an engine that announced a limit. */
 static guint
 max_in_window(const simulation_t *p)
 {
