--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -198,9 +198,9 @@
            const placement_request_t *request)
 {
     const endpoint_t *endpoint = placement->endpoint;
-    prompt_part_t prefix = placement_prefix_part(request);
+    prompt_part_t prefix = placement_preceding_part(request);
     prompt_part_t shared = placement_shared_part(request);
-    if (prefix.tokens >= PREFIX_TOLD_TOKENS && !placement->prefix_cached) {
+    if (prefix.tokens >= PREFIX_TOLD_TOKENS && !placement->preceding_cached) {
         load_link_note_part(f->entry->load_link, prefix.id, endpoint);
     }
     if (shared.tokens >= PART_TOLD_TOKENS &&
--- a/include/carobloom/policy/keepers.h
+++ b/include/carobloom/policy/keepers.h
@@ -39,14 +39,14 @@
     /* An endpoint that was sent the preceding part of the prompt, which more
      * prompts share. An endpoint that gets the part for the first time can
      * fetch the preceding one there. NULL: none. */
-    const endpoint_t *prefix_source;
+    const endpoint_t *preceding_source;
 } part_ranking_t;
 
 /* Ranks the usable endpoints of a partition for a part; none for part 0.
- * `prefix` is the preceding part, or 0. */
+ * `preceding` is the preceding part, or 0. */
 part_ranking_t part_ranking_build(const GPtrArray *endpoints,
                                   partition_t partition, guint64 part,
-                                  guint64 prefix, gint64 now_us);
+                                  guint64 preceding, gint64 now_us);
 /* The endpoint's index in the ranking; PART_RANKED_MAX if it isn't ranked. */
 guint part_ranking_position(const part_ranking_t *ranking,
                             const endpoint_t *endpoint);
--- a/include/carobloom/policy/placement.h
+++ b/include/carobloom/policy/placement.h
@@ -80,7 +80,7 @@
     /* The endpoint that would have been chosen but for its limit, or NULL. */
     endpoint_t *denied;
     /* Some endpoint is known to cache the part before the shared one. */
-    gboolean prefix_cached;
+    gboolean preceding_cached;
     placement_counts_t counts;
 } placement_t;
 
@@ -97,7 +97,7 @@
  * the parts up to it; 0 when no part is shared. */
 prompt_part_t placement_shared_part(const placement_request_t *request);
 /* The same for the part before the shared one. */
-prompt_part_t placement_prefix_part(const placement_request_t *request);
+prompt_part_t placement_preceding_part(const placement_request_t *request);
 /* Prompt tokens that `endpoint` would have to read. */
 guint placement_unread_tokens(const endpoint_t *endpoint,
                               const placement_request_t *request);
--- a/policy/keepers.c
+++ b/policy/keepers.c
@@ -11,7 +11,7 @@
     guint64 former_home_weight;
     guint64 draining_home_weight;
     guint64 source_weights[PART_SOURCES_MAX];
-    guint64 prefix_source_weight;
+    guint64 preceding_source_weight;
 } ranking_builder_t;
 
 /* Whether an endpoint is healthy enough to fetch from. */
@@ -84,23 +84,23 @@
 
 /* All instances choose the same source, so that it surely has the part. */
 static void
-builder_record_prefix_source(ranking_builder_t *r, const endpoint_t *e,
-                             guint64 prefix, gint64 now_us)
+builder_record_preceding_source(ranking_builder_t *r, const endpoint_t *e,
+                                guint64 preceding, gint64 now_us)
 {
-    if (prefix == 0 || !endpoint_has_part(e, prefix) ||
+    if (preceding == 0 || !endpoint_has_part(e, preceding) ||
         !can_serve_fetch(e, now_us)) {
         return;
     }
-    guint64 weight = hash_pair(prefix, e->hash);
-    if (weight > r->prefix_source_weight) {
-        r->ranking.prefix_source = e;
-        r->prefix_source_weight = weight;
+    guint64 weight = hash_pair(preceding, e->hash);
+    if (weight > r->preceding_source_weight) {
+        r->ranking.preceding_source = e;
+        r->preceding_source_weight = weight;
     }
 }
 
 part_ranking_t
 part_ranking_build(const GPtrArray *endpoints, partition_t partition,
-                   guint64 part, guint64 prefix, gint64 now_us)
+                   guint64 part, guint64 preceding, gint64 now_us)
 {
     ranking_builder_t r = {0};
     for (guint i = 0; part != 0 && i < endpoints->len; i++) {
@@ -109,7 +109,7 @@
         if (endpoint_has_part(e, part) && can_serve_fetch(e, now_us)) {
             builder_record_source(&r, e, weight);
         }
-        builder_record_prefix_source(&r, e, prefix, now_us);
+        builder_record_preceding_source(&r, e, preceding, now_us);
         if (!endpoint_usable(e, now_us)) {
             builder_record_draining(&r, e, weight, now_us);
             continue;
@@ -159,7 +159,7 @@
                                             ranking->draining_home,
                                             home,
                                             ranking->former_home,
-                                            ranking->prefix_source,
+                                            ranking->preceding_source,
                                             fallback};
     for (gsize i = 0; i < G_N_ELEMENTS(candidates); i++) {
         if (candidates[i] != endpoint && is_healthy(candidates[i], now_us)) {
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -13,10 +13,10 @@
 static const double GRANTS_AHEAD = 3;
 /* One send is reserved for each expected more urgent request. The expected
  * number is rounded up if its fraction exceeds this value, else down. */
-static const double EXPECTED_MIN = 0.15;
+static const double ROUND_UP_FRACTION = 0.15;
 /* Minimum rate of more urgent requests, per second, at which they may get all
  * granted sends: one per lifetime of a grant. */
-static const double FREQUENT_RATE = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
+static const double FREQUENT_RATE_MIN = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
 
 static void
 decay(limit_share_t *s, gint64 now_us)
@@ -74,7 +74,7 @@
     double span_s = MAX(s->span_s, SPAN_MIN_S);
     double wanted = wanted_by_more_urgent(s, rank);
     double wanted_rate = wanted / span_s;
-    if (wanted >= s->granted_sends && wanted_rate >= FREQUENT_RATE) {
+    if (wanted >= s->granted_sends && wanted_rate >= FREQUENT_RATE_MIN) {
         return TRUE; /* more urgent requests would use all sends */
     }
     double left_s = (double)tokens->left_us / G_USEC_PER_SEC;
@@ -82,5 +82,5 @@
         left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grant_count);
     }
     double expected = wanted_rate * left_s;
-    return tokens->count < 1 - EXPECTED_MIN + expected;
+    return tokens->count < 1 - ROUND_UP_FRACTION + expected;
 }
--- a/policy/placement.c
+++ b/policy/placement.c
@@ -146,7 +146,7 @@
 }
 
 prompt_part_t
-placement_prefix_part(const placement_request_t *r)
+placement_preceding_part(const placement_request_t *r)
 {
     return prefix_without(r, 2);
 }
@@ -617,14 +617,14 @@
         .request = r,
         .ranking = part_ranking_build(endpoints, partition,
                                       placement_shared_part(r).id,
-                                      placement_prefix_part(r).id, now_us),
+                                      placement_preceding_part(r).id, now_us),
         .in_backoff = in_backoff,
         .now_us = now_us,
         .best = {.counts = {.known = endpoints->len}},
     };
     gboolean is_long = prompt_is_long(r->prompt_tokens);
     gboolean leaves_home = is_long && c.ranking.count > 0;
-    c.best.prefix_cached = c.ranking.prefix_source != NULL;
+    c.best.preceding_cached = c.ranking.preceding_source != NULL;
     choice_consider_ranked(&c);
     if (c.best.endpoint == NULL ||
         c.best_cost_ms > RANKED_TARGET_FRACTION * (double)r->target_ms) {
--- a/tests/test_loads.c
+++ b/tests/test_loads.c
@@ -240,23 +240,23 @@
     return hash_text(str_from_cstr(name));
 }
 
-/* Control instances, of which the first `near` are local. Those in the bits of
- * `silent` do not answer. */
+/* Control instances, of which the first `local_count` are local. Those in the
+ * bits of `unreachable` do not answer. */
 static void
-collectors_fill(collector_t *collectors, guint near, guint silent)
+collectors_fill(collector_t *collectors, guint local_count, guint unreachable)
 {
     for (guint i = 0; i < COLLECTORS; i++) {
         collectors[i] = (collector_t){.hash = hash_of("control", i),
-                                      .local = i < near,
-                                      .reachable = !(silent & 1u << i)};
+                                      .local = i < local_count,
+                                      .reachable = !(unreachable & 1u << i)};
     }
 }
 
 typedef struct {
     const char *name;
-    guint near;
-    guint silent;  /* bits */
-    guint allowed; /* bits: the instances that may be chosen */
+    guint local_count;
+    guint unreachable; /* bits */
+    guint allowed;     /* bits: the instances that may be chosen */
 } collector_case_t;
 
 static const collector_case_t COLLECTOR_CASES[] = {
@@ -276,7 +276,7 @@
         const collector_case_t *c = &COLLECTOR_CASES[i];
         collector_t collectors[COLLECTORS];
         guint chosen = 0;
-        collectors_fill(collectors, c->near, c->silent);
+        collectors_fill(collectors, c->local_count, c->unreachable);
         for (guint n = 0; n < ENTRIES; n++) {
             gssize at =
                 collector_pick(collectors, COLLECTORS, hash_of("entry", n));
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -632,11 +632,11 @@
                                    .fetch_tokens_per_ms = 800,
                                    .data_centre = "dc"};
     placement_t first = placement_pick(list, &request, 0);
-    CU_ASSERT_FALSE(first.prefix_cached);
+    CU_ASSERT_FALSE(first.preceding_cached);
     endpoint_t *other = list->pdata[first.endpoint == list->pdata[0]];
     directory_record_part(d, other, PREFIX);
     placement_t then = placement_pick(list, &request, 0);
-    CU_ASSERT(then.prefix_cached);
+    CU_ASSERT(then.preceding_cached);
     CU_ASSERT_PTR_EQUAL(then.endpoint, first.endpoint);
     CU_ASSERT_PTR_EQUAL(then.source, other);
     /* A source of the whole prefix is preferred. */
@@ -697,8 +697,8 @@
     directory_destroy(d);
 }
 
-/* A home that announced a limit is skipped while no send is granted, and is used
- * again once one is granted or the limit ends. */
+/* A home that announced a limit is skipped while no send is granted, and is
+ * used again once one is granted or the limit ends. */
 static void
 test_limited_home(void)
 {
