--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -833,7 +833,8 @@
               on_time[REPORTED_NONE][KIND_LONG]);
 }
 
-/* The maximum number of sends within 4 s to an engine that announced a limit. */
+/* The maximum number of sends within 4 s to an engine that announced a limit.
+ */
 static guint
 max_in_window(const simulation_t *p)
 {
