--- a/include/carobloom/policy/endpoint.h
+++ b/include/carobloom/policy/endpoint.h
@@ -29,14 +29,16 @@
     gboolean draining;
     gboolean left;
     gboolean reclaimable;
-    gint64 fetchable_until_us; /* cached parts, while draining */
+    /* While the endpoint drains, other endpoints can fetch its cached parts
+     * until then. */
+    gint64 fetchable_until_us;
     guint32 reported_by; /* bits of control instances that report its lease */
     gint64 unreported_until_us; /* usable until then without a report */
-    gint64 cold_until_us;
+    gint64 cold_until_us;       /* slow until then, as its lease announced */
     /* requests of this instance */
     gint64 last_served_us; /* time of the last answer, 0: never */
     guint running;
-    guint32 waiting_tokens; /* prompt tokens that are not read yet */
+    guint32 waiting_tokens; /* prompt tokens that are not prefilled yet */
     guint32 prompt_tokens;  /* of the whole prompts of all running requests */
     guint long_running;     /* running requests with long prompts */
     guint32 long_waiting;
@@ -44,11 +46,12 @@
     gboolean has_others_load; /* `others` holds a reported load */
     /* health */
     double failures;         /* decaying fraction of failed requests */
-    gint64 backoff_until_us; /* no requests until then */
-    gint64 backoff_us;
-    gint64 full_until_us;
-    gint64 full_backoff_us;
-    endpoint_limit_t *limit; /* NULL: the endpoint never named a limit */
+    gint64 backoff_until_us; /* no requests until then, after failures */
+    gint64 backoff_us;    /* length of the last one; 0: none since a success */
+    gint64 full_until_us; /* no requests until then, after refusals */
+    gint64
+        full_backoff_us; /* length of the last one; 0: none since a success */
+    endpoint_limit_t *limit; /* NULL: the endpoint never announced a limit */
     part_set_t parts;        /* of prompts that were recently sent there */
     void *connections;       /* owned by the caller */
 } endpoint_t;
@@ -60,22 +63,22 @@
  * from its memory. */
 gboolean endpoint_fetchable(const endpoint_t *endpoint, gint64 now_us);
 /* Requests of all instances that run at the endpoint, and their prompt tokens
- * that are not read yet, as far as they are reported. */
+ * that are not prefilled yet, as far as they are reported. */
 guint endpoint_running(const endpoint_t *endpoint);
 guint endpoint_waiting_tokens(const endpoint_t *endpoint);
 /* Whether this instance likely has an open connection to the endpoint. */
 gboolean endpoint_connected(const endpoint_t *endpoint, gint64 now_us);
 /* Records that this instance sends a request there. `waiting_tokens` of its
- * prompt are not cached and have to be read. */
+ * prompt are not cached and have to be prefilled. */
 void endpoint_add_request(endpoint_t *endpoint, guint prompt_tokens,
                           guint waiting_tokens);
-/* Records that the request's prompt was read. */
+/* Records that the prefill of the request's prompt ended. */
 void endpoint_end_prefill(endpoint_t *endpoint, guint prompt_tokens,
                           guint waiting_tokens);
 /* Records that the request ended. */
 void endpoint_remove_request(endpoint_t *endpoint, guint prompt_tokens);
-/* Whether the endpoint accepts requests: no backoff after failures or
- * refusals is in force. */
+/* Whether the endpoint is not in backoff, neither after failures nor after
+ * refusals. */
 gboolean endpoint_available(const endpoint_t *endpoint, gint64 now_us);
 /* Records an outcome in the endpoint's health and starts or ends backoff. */
 void endpoint_record_outcome(endpoint_t *endpoint, endpoint_outcome_t outcome,
--- a/include/carobloom/policy/endpoint_set.h
+++ b/include/carobloom/policy/endpoint_set.h
@@ -17,12 +17,13 @@
     ENDPOINT_SET_PREFIXES_MAX = 65536, /* prefixes remembered per pool */
 };
 
-/* Health of an endpoint, which bounds the slots that are used. */
+/* Health of an endpoint, which bounds the slots that are used. An endpoint in
+ * any state but ENDPOINT_OK is degraded. */
 typedef enum {
     ENDPOINT_OK,
     ENDPOINT_SLOW,    /* straggler: only a fraction of its slots is used */
-    ENDPOINT_EJECTED, /* failing: no requests until probe_at_us */
-    ENDPOINT_PROBING, /* one request at a time, to test recovery */
+    ENDPOINT_EJECTED, /* failing: in backoff until probe_at_us */
+    ENDPOINT_PROBING, /* recovery check: one request at a time */
     ENDPOINT_LEAVING, /* announced that it leaves, or stopped reporting */
 } endpoint_health_t;
 
@@ -71,7 +72,7 @@
                          gboolean present);
 
 /* Chooses an endpoint with a free slot for a request; NULL if there is none.
- * `healthy_only` excludes stragglers and endpoints that are being probed.
+ * `healthy_only` excludes degraded endpoints.
  * `avoid` is an endpoint that just failed the request (0: none), `prefill_us`
  * the time that a cached prefix saves, and `tokens` the expected length of the
  * answer. */
@@ -87,7 +88,7 @@
 void endpoint_set_release(endpoint_set_t *set, guint64 id, gboolean failed,
                           double token_us, gint64 now_us);
 /* Recomputes the median speed and the health of all endpoints: stragglers,
- * recoveries and probes that are due. */
+ * recovered endpoints, and recovery checks after backoff. */
 void endpoint_set_update_health(endpoint_set_t *set, gint64 now_us);
 
 /* Free and usable slots, summed over the endpoints. */
--- a/include/carobloom/policy/queue.h
+++ b/include/carobloom/policy/queue.h
@@ -12,7 +12,7 @@
 
 typedef enum { JOB_WAITING, JOB_RUNNING } job_state_t;
 
-/* A ticket in a scheduler. */
+/* The scheduler's record of a ticket that waits or runs. */
 typedef struct {
     heap_node_t deadline; /* in the scheduler's heap while waiting */
     ticket_t ticket;
--- a/include/carobloom/policy/registry.h
+++ b/include/carobloom/policy/registry.h
@@ -29,8 +29,8 @@
  * unknown endpoint, all that started before `wall_ms` (Unix time). */
 void registry_leave(registry_t *registry, const char *id, gint64 started_ms,
                     gint64 wall_ms, gint64 now_us);
-/* Marks leases silent that were not renewed in time, and drops old ones.
- * Returns TRUE if a lease became silent. */
+/* Marks leases that were not renewed in time as LEASE_EXPIRED, and removes
+ * leases that expired or left long ago. Returns TRUE if a lease expired. */
 gboolean registry_expire(registry_t *registry, gint64 now_us);
 /* Number of the last change; increases with each change. */
 guint64 registry_cursor(const registry_t *registry);
@@ -39,7 +39,7 @@
  * which the changes are included. */
 GPtrArray *registry_changes_since(const registry_t *registry, guint64 cursor,
                                   guint max_count, guint64 *through);
-/* Number of leases, those that are silent or left included. */
+/* Number of leases, including those that expired or were left. */
 guint registry_count(const registry_t *registry);
 
 #endif
--- a/include/carobloom/policy/scheduler.h
+++ b/include/carobloom/policy/scheduler.h
@@ -16,7 +16,9 @@
 #include "carobloom/policy/class.h"
 #include "carobloom/policy/endpoint_set.h"
 
-/* A request as its entry instance submits it to the scheduler. */
+/* A request as its entry instance submits it to the scheduler. Each run of the
+ * request at an endpoint is an attempt; a request that failed or was preempted
+ * is submitted again for the next attempt. */
 typedef struct {
     guint64 id;
     guint class_index;
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -3,7 +3,8 @@
 #include <math.h>
 
 static const double TOKEN_TIME_SMOOTHING = 0.2;
-static const double IDLE_COST = 0.5;       /* relative to a full endpoint */
+/* Time per token at an idle endpoint, relative to a full endpoint. */
+static const double IDLE_COST = 0.5;
 static const double SLOW_RATIO = 2.0;      /* of the median: a straggler */
 static const double RECOVERED_RATIO = 1.5; /* of the median: recovered */
 static const double EJECTED_MAX_FRACTION = 0.34; /* of a pool, at once */
@@ -26,7 +27,7 @@
 struct endpoint_set {
     GHashTable *by_id; /* id -> endpoint_state_t */
     heap_t healthy;    /* endpoints with a free slot, by load */
-    heap_t degraded;   /* the same for stragglers and probed endpoints */
+    heap_t degraded;   /* the same for degraded endpoints */
     GHashTable *prefixes;
     GQueue prefix_order; /* least recently used first, to bound the table */
     guint slots;
@@ -356,6 +357,7 @@
     endpoint_set_prefix(set, prefix, endpoint->id, TRUE);
 }
 
+/* Number of degraded endpoints, without those that leave. */
 static guint
 count_unhealthy(const endpoint_set_t *set)
 {
@@ -371,8 +373,9 @@
     return count;
 }
 
-/* Whether one more endpoint may be degraded: at most EJECTED_MAX_FRACTION of
- * the pool, or one endpoint of a small pool, but never its only endpoint. */
+/* Whether one more endpoint may become slow or be ejected: at most
+ * EJECTED_MAX_FRACTION of the pool, or one endpoint of a small pool, but never
+ * its only endpoint. */
 static gboolean
 may_eject(const endpoint_set_t *set)
 {
--- a/policy/registry.c
+++ b/policy/registry.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* A lease becomes silent after three lost heartbeats plus the delay that a
- * heartbeat may have, and is dropped after RETENTION_US. */
+/* A lease expires after three lost heartbeats plus the delay that a heartbeat
+ * may have, and is removed after RETENTION_US. */
 enum {
     MISSED_HEARTBEATS_MAX = 3,
     HEARTBEAT_DELAY_MAX_US = 1500 * 1000,
@@ -12,7 +12,7 @@
 
 typedef struct {
     endpoint_lease_t lease;
-    lease_state_t reported_state; /* by the endpoint, also once silent */
+    lease_state_t reported_state; /* by the endpoint, also once expired */
     gint64 renewed_us;
     guint64 change_cursor; /* registry's cursor at the last change */
     GList *link;
--- a/policy/scheduler.c
+++ b/policy/scheduler.c
@@ -293,8 +293,9 @@
     return job ? now_us - job->queued_us : 0;
 }
 
-/* Slots guaranteed to a class now: one at all times, and its whole minimum
- * share once its oldest ticket has waited longer than max_wait_us. */
+/* Slots guaranteed to a class now: none without a minimum share, otherwise one
+ * slot, and the whole minimum share once the class's oldest ticket has waited
+ * longer than max_wait_us. */
 static guint
 floor_now(const scheduler_t *s, guint class_index, gint64 now_us)
 {
@@ -304,8 +305,8 @@
     return overdue ? floor : MIN(floor, 1);
 }
 
-/* Free slots that a class may use. Protected classes do not use degraded
- * endpoints. */
+/* Free slots that count for a class. For a protected class the slots of
+ * degraded endpoints do not count. */
 static guint
 class_free_slots(const scheduler_t *s, const class_state_t *c)
 {
@@ -783,6 +784,8 @@
     scheduler_grant(s, now_us, actions);
 }
 
+/* Refuses waiting tickets whose deadline has passed. A ticket that must not be
+ * refused keeps waiting. */
 static void
 expire(scheduler_t *s, gint64 now_us, GArray *actions)
 {
@@ -794,9 +797,9 @@
         job_t *job = (job_t *)node;
         class_state_t *c = &s->classes[job->ticket.class_index];
         if (!may_refuse(s, c) || job->ticket.done_tokens > 0) {
-            /* The job keeps waiting, for lower tiers to free a slot or because
-             * its answer has begun. It is checked again after
-             * first_token_us. */
+            /* The job keeps waiting, because lower tiers can free a slot for
+             * the job or because its answer has begun. The deadline is checked
+             * again after first_token_us. */
             job->deadline.key = (double)(now_us + c->spec.first_token_us + 1);
             heap_update(&s->deadlines, node);
             continue;
