--- a/include/carobloom/policy/membership.h
+++ b/include/carobloom/policy/membership.h
@@ -25,7 +25,9 @@
  * the one with the later `started` replaces the other. */
 typedef struct {
     guint64 id;
-    guint32 incarnation_number; /* SWIM's; only the member itself raises it */
+    /* SWIM's incarnation number, which only the member itself raises. Not the
+     * incarnation of a process: `started` identifies the process. */
+    guint32 incarnation_number;
     member_state_t state;
     guint64 started; /* start of the process, wall clock, ms */
     char name[MEMBER_TEXT_MAX + 1];
@@ -71,9 +73,10 @@
 void membership_leave(membership_t *membership, gint64 now_us);
 /* Announces that this instance drains. */
 void membership_set_draining(membership_t *membership, gint64 now_us);
-/* Sets the version of the document in force here, sent with each message. */
+/* Sets the version of the configuration in force at this instance, which is
+ * sent with each message. */
 void membership_set_version(membership_t *membership, guint64 version);
-/* The highest document version known, and the member that has it. */
+/* The highest configuration version known, and the member that has it. */
 guint64 membership_newest_version(const membership_t *membership,
                                   guint64 *member);
 
--- a/include/carobloom/policy/voter.h
+++ b/include/carobloom/policy/voter.h
@@ -1,6 +1,8 @@
 /* One member of a Raft group: elections with pre-vote, quorum commit, leader
  * lease, snapshots, and single-member membership changes.
  *
+ * A member is a voter, or a learner, which receives the log but has no vote.
+ *
  * Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus
  * Algorithm" (2014); membership changes, learners and pre-vote follow Ongaro's
  * thesis. The module does no I/O and reads no clock: the caller passes in
--- a/policy/membership.c
+++ b/policy/membership.c
@@ -361,8 +361,8 @@
 }
 
 /* `retry` is for a target that did not acknowledge. The connection may be
- * broken, so a new one is opened. Or the target doesn't know this member and
- * can't reply, so this member's record is included. */
+ * broken, so a new one is opened. The target may also not know this member and
+ * so be unable to reply, so this member's record is included. */
 static void
 ping(membership_t *m, const member_t *target, gboolean retry)
 {
@@ -415,8 +415,8 @@
     }
 }
 
-/* Declares members dead whose suspicion timed out, and drops members that were
- * dead or gone for long. */
+/* Declares members dead whose suspicion timed out, and removes members that
+ * died or left more than dead_expiry_us ago. */
 static void
 expire_members(membership_t *m)
 {
@@ -453,8 +453,10 @@
 }
 
 /* Sends a join to seeds that are not alive here, a few per period. Contacting
- * all seeds after the start keeps separate groups from forming; later this
- * rejoins two halves of a partition that outlasted the expiry of the dead. */
+ * all seeds after the start keeps separate groups from forming. Later the
+ * joins reconnect the two halves of a partition that lasted longer than
+ * dead_expiry_us, after which each half has removed the members of the other.
+ */
 static void
 join_seeds(membership_t *m)
 {
--- a/policy/voter.c
+++ b/policy/voter.c
@@ -258,7 +258,8 @@
     if (v->role != ROLE_LEADER) {
         return;
     }
-    /* Delays this member's own candidacy, so that another one is elected. */
+    /* Delays this member's own candidacy by four election timeouts, so that
+     * another member is elected. */
     voter_become_follower(v, v->hard.term, 0);
     v->election_deadline_us = v->now_us + 4 * v->settings.election_timeout_us;
 }
--- a/policy/voter_repair.c
+++ b/policy/voter_repair.c
@@ -4,10 +4,10 @@
 
 enum {
     /* A member without contact for this many election timeouts (0.8 s each in
-     * the gateway) counts as dead. It must be removed within the 4 s after
-     * which the platform assumes that a new member has caught up and the next
-     * machine may lose its disk: until the removal the quorum is three of
-     * four, so no other member may fail. */
+     * the gateway) counts as dead. After 4 s the platform assumes that the
+     * replacement of a member has caught up, and may take the disk of the next
+     * machine. The dead member must be removed before that: while it is one of
+     * four members, the quorum is three, so no other member may fail. */
     DEAD_ELECTION_TIMEOUTS = 4,
     /* All other members must have made contact within this time. */
     RECENT_ELECTION_TIMEOUTS = 2,
