--- a/include/carobloom/policy/capacity_plan.h
+++ b/include/carobloom/policy/capacity_plan.h
@@ -26,7 +26,7 @@
     guint ready[ENGINES_KINDS];   /* engines that take requests now */
     guint ordered[ENGINES_KINDS]; /* in the last order that was accepted */
     guint wanted[ENGINES_KINDS];  /* engines in the plan */
-    gboolean idle;                /* no demand was seen yet */
+    gboolean idle;                /* no demand since the plan began */
     gint64 unavailable_until_us;  /* no reclaimable engines until then */
 } capacity_data_centre_t;
 
@@ -55,8 +55,10 @@
     gint64 peak_us;
     gint64 updated_us;
     gint64 first_demand_us; /* when demand was first seen; 0: not yet */
-    guint initial_engines;  /* ready when the plan began amid demand, or 0 */
-    guint total;            /* engines planned, both kinds */
+    /* Engines ready when a plan began while demand was already there, as on a
+     * new duty holder; otherwise 0. */
+    guint initial_engines;
+    guint total; /* engines planned, both kinds */
 } capacity_plan_t;
 
 /* "model": estimates from the prefill work and the slots in use. "share":
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -42,7 +42,7 @@
     lease_state_t state;
     gboolean reclaimable; /* the platform may reclaim it at short notice */
     gint64 leaves_ms;     /* time from draining to its end; 0: not given */
-    gint64 cold_ms;       /* time from now during which it is slow */
+    gint64 cold_ms; /* time from now for which it is slow; 0: not given */
 } endpoint_lease_t;
 
 /* Frees what the lease owns, not the lease. */
@@ -78,9 +78,9 @@
 /* Applies a lease that `source` (below DIRECTORY_SOURCES_MAX) reported. */
 void directory_update(directory_t *directory, guint source,
                       const endpoint_lease_t *lease, gint64 now_us);
-/* Drops all reports of `source`, which starts over. Endpoints that it had
- * reported stay usable for a grace period, until their renewals are reported
- * again. */
+/* Drops all reports of `source`, which will report all leases anew. Endpoints
+ * that only `source` had reported stay usable for a grace period, until their
+ * renewals are reported again. */
 void directory_source_reset(directory_t *directory, guint source,
                             gint64 now_us);
 /* Frees endpoints that have left or were replaced by a new incarnation, once
@@ -117,9 +117,9 @@
 /* Returns a new array of endpoint_load_t: this instance's requests in
  * flight. */
 GArray *directory_loads(directory_t *directory);
-/* Applies the sums over all entry instances. `own` is the part of the sums
- * that this instance reported. An endpoint without a sum runs no request of
- * other instances. */
+/* Applies the sums over all entry instances. `own` is what this
+ * instance itself reported, which the sums include. An endpoint without a sum
+ * runs no request of other instances. */
 void directory_apply_loads(directory_t *directory, const GArray *sums,
                            const GArray *own);
 /* Records that a prompt with this part is sent to an endpoint. The total over
@@ -136,14 +136,15 @@
                                   endpoint_t *endpoint);
 /* The endpoints that have a limit record and have not left; endpoint_t *. */
 const GPtrArray *directory_limits(const directory_t *directory);
-/* Applies a report of the owner of a limit. Returns the endpoint, or NULL when
- * it is not known yet; the state is then applied once the endpoint is
- * added. */
+/* Applies a report of the owner of a limit. Returns the endpoint that has the
+ * limit, or NULL when the endpoint is not known yet; the state is then applied
+ * once the endpoint is added. */
 endpoint_t *directory_apply_limit(directory_t *directory,
                                   const limit_state_t *state,
                                   limit_change_t *change, gint64 now_us);
-/* Requests of all instances at a service's endpoints, by kind. The caller
- * fills in objectives and speed. */
+/* Demand of all instances for a service's endpoints, for long and for short
+ * prompts, and the usable endpoints and their slots. The caller fills in
+ * objectives and speed. */
 split_demand_t directory_demand(directory_t *directory, const char *service,
                                 gint64 now_us);
 /* Number of this instance's requests at a service's endpoints. */
--- a/include/carobloom/policy/duty_lease.h
+++ b/include/carobloom/policy/duty_lease.h
@@ -12,13 +12,14 @@
 
 /* State of the lease; set it up with duty_lease_init. */
 typedef struct {
-    gint64 alternation_us; /* the platform must not see calls of instances A, B
-                              and A again within this time */
-    guint64 token;         /* of the lease; 0: not held */
-    gint64 valid_from_us;  /* first time at which calls are allowed */
-    gint64 until_us;       /* end of the lease */
-    gint64 last_call_us;   /* last time it may have made a call; G_MININT64:
-                              never */
+    /* After calls of instance A and then of instance B, the platform must not
+     * see a call of A within this time of the first. */
+    gint64 alternation_us;
+    guint64 token;        /* of the lease; 0: not held */
+    gint64 valid_from_us; /* first time at which calls are allowed */
+    gint64 until_us;      /* end of the lease */
+    gint64 last_call_us;  /* last time it may have made a call; G_MININT64:
+                             never */
 } duty_lease_t;
 
 /* `first_incarnation`: no earlier process of this instance can have made a
--- a/include/carobloom/policy/sync_pace.h
+++ b/include/carobloom/policy/sync_pace.h
@@ -8,8 +8,9 @@
 /* What determines how long a poll is held. */
 typedef struct {
     guint entries;    /* entry instances that poll */
-    gboolean leads;   /* the polled instance confirms the configuration */
-    gboolean healthy; /* it answers, and the configuration is confirmed */
+    gboolean leads;   /* the polled instance is the leader */
+    gboolean healthy; /* the polled instance answers, and the configuration is
+                         confirmed */
     double
         revocation_bound_ms; /* time limit to reject a revoked key; 0: none */
 } sync_pace_t;
--- a/include/carobloom/policy/usage_book.h
+++ b/include/carobloom/policy/usage_book.h
@@ -22,8 +22,9 @@
 /* This instance became the leader at `wall_us`: drops all earlier reports. */
 void usage_book_start_term(usage_book_t *book, gint64 wall_us);
 /* Records that an incarnation of an entry instance sent a report at `wall_us`,
- * with or without counts. A window waits, up to its latest time, for entry
- * instances that stopped reporting in it. */
+ * with or without counts. An incarnation that reported in a window or the one
+ * before, but not since the window's end, delays the window until shortly
+ * before its deadline. */
 void usage_book_record_contact(usage_book_t *book, guint64 incarnation,
                                gint64 wall_us);
 /* Applies a report of one incarnation of an entry instance: its counts of a
--- a/policy/capacity_plan.c
+++ b/policy/capacity_plan.c
@@ -11,12 +11,12 @@
     /* Until demand has been seen for this time, the coming load is unknown,
      * and all engines that are cheap are kept ready. */
     LEARNING_US = 8 * G_USEC_PER_SEC,
-    /* The fraction 1/4 of the engines allowed in a data centre is released at
-     * once to make room. */
+    /* Minimum fraction, 1/4, of the engines allowed in a data centre that is
+     * released at once to make room for reclaimable engines. */
     CROWDED_DIVISOR = 4,
     /* Without demand, the fraction 1/8 of the engines allowed in a data centre
-     * stays on demand until reclaimable engines are ready, to serve the first
-     * requests. */
+     * stays ordered as on-demand engines until reclaimable engines are ready,
+     * to serve the first requests. */
     IDLE_DIVISOR = 8,
 };
 
@@ -86,7 +86,8 @@
 }
 
 /* `max_needed` is the highest estimate that engines are available for. A
- * higher peak would be held long after it can have any effect. */
+ * higher peak would order no more engines, but would keep the plan at its
+ * maximum for longer after the load has fallen. */
 static void
 peak_update(capacity_plan_t *p, double max_needed, gint64 now_us)
 {
@@ -121,9 +122,9 @@
     return present;
 }
 
-/* Records when demand was first seen. A plan that begins amid demand, on a new
- * duty holder, keeps the engines that are ready until it has seen enough
- * demand itself. */
+/* Records when demand was first seen. If demand is already there at the first
+ * update, as on a new duty holder, the plan keeps the engines that are ready
+ * until it has seen demand for LEARNING_US. */
 static void
 first_demand_update(capacity_plan_t *p, const service_demand_t *demand,
                     const capacity_data_centre_t *data_centres, guint count,
@@ -253,11 +254,11 @@
     place_engines(p, b, data_centres, count, now_us);
 }
 
-/* Number of on-demand engines to keep where reclaimable engines need their
- * room. Once all reclaimable engines that could be ordered are ready, the same
- * number of on-demand engines is released; where there is no room yet, a fixed
- * fraction is released. Without demand a smaller number of on-demand engines
- * is enough. */
+/* Number of on-demand engines to keep where the wanted reclaimable engines do
+ * not fit beside them. Once all reclaimable engines that fit are ready, as
+ * many on-demand engines are released as reclaimable engines are ready, and at
+ * least 1/CROWDED_DIVISOR of `max_engines`. Without demand, 1/IDLE_DIVISOR of
+ * `max_engines` is enough. Both fractions are at least one engine. */
 static guint
 on_demand_when_crowded(const capacity_data_centre_t *p, guint max_engines)
 {
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -16,9 +16,12 @@
     /* The drain notice may be half a second old, and a fetch takes a few
      * milliseconds. */
     FETCH_MARGIN_US = 500 * 1000,
-    /* Prompt parts that are recorded for one endpoint, and in total (1 MB). */
+    /* Prompt parts that are recorded for one endpoint. The number shrinks with
+     * the number of endpoints, down to the minimum. */
     ENDPOINT_PARTS_MAX = 512,
     ENDPOINT_PARTS_MIN = 8,
+    /* Prompt parts that are recorded for all endpoints together (1 MB),
+     * exceeded only where each endpoint has the minimum. */
     TOTAL_PARTS_MAX = 128 * 1024,
     PENDING_LIMITS_MAX = 1024,
     /* Minimum time between two counts of a service's usable endpoints, per
@@ -259,9 +262,9 @@
 
 /* Resolves a conflict of two endpoints at one address. The later incarnation
  * gets the address; without start times, the endpoint that was known before
- * has most likely ended. The other endpoint is closed only for a while, since
- * a delayed renewal may report the older incarnation last. The answer of the
- * endpoint itself decides (ENDPOINT_MISDIRECTED). */
+ * has most likely ended. The other endpoint only gets a backoff, since a
+ * delayed renewal may report the older incarnation last. If the wrong endpoint
+ * gets the address, its answer shows that (ENDPOINT_MISDIRECTED). */
 static void
 address_claim(directory_t *d, endpoint_t *e, gint64 now_us)
 {
@@ -505,8 +508,8 @@
     return load != NULL ? *load : (endpoint_load_t){0};
 }
 
-/* Returns `sum` without `part`. A part that is newer than the sum may be
- * larger, so each difference is at least 0. */
+/* Returns `sum` less `part`, the loads that this instance reported. `part` may
+ * be newer than the sum, and so larger; the difference is then 0. */
 static endpoint_load_t
 load_subtract(endpoint_load_t sum, endpoint_load_t part)
 {
--- a/policy/duty_lease.c
+++ b/policy/duty_lease.c
@@ -2,12 +2,13 @@
 
 enum {
     MS = 1000,
-    /* Maximum time from the check to the arrival of the call: a round trip
-     * between data centres and a busy process. The next leader can start 80
-     * ms, a tenth of the election timeout, after the lease ends. */
+    /* Maximum time from duty_lease_authorize_call to the arrival of the call
+     * at the platform: a round trip between data centres and a busy process.
+     * The next leader can start 80 ms, a tenth of the election timeout, after
+     * the lease ends. */
     ARRIVAL_US = 40 * MS,
-    /* An instance whose last call is more than this many times
-     * `alternation_us` ago cannot be the first of A, B, A. */
+    /* A call that is more than this many times `alternation_us` old cannot be
+     * the first of calls of A, B and A within that time. */
     RECENT_CALL_FACTOR = 4,
 };
 
--- a/policy/memory_bound.c
+++ b/policy/memory_bound.c
@@ -6,10 +6,14 @@
     STREAM_BYTES_CROWDED = 4 * 1024,
 };
 
-/* Fractions of the memory. Above CROWDED_FRACTION each stream buffers little.
- * Request bodies have another quarter. */
+/* Fractions of the memory that buffered answers fill. Request bodies may fill
+ * another quarter, which is not bounded here. */
+
+/* Above this fraction each stream buffers at most STREAM_BYTES_CROWDED. */
 static const double CROWDED_FRACTION = 0.1;
+/* Above this fraction no new request is accepted. */
 static const double ADMIT_FRACTION = 0.25;
+/* Above this fraction no answer that is buffered as a whole may grow. */
 static const double BUFFERED_FRACTION = 0.4;
 
 gboolean
--- a/policy/sync_pace.c
+++ b/policy/sync_pace.c
@@ -1,8 +1,8 @@
 #include "carobloom/policy/sync_pace.h"
 
 enum {
-    /* The wait grows with the number of entry instances, so that the polls of
-     * 320 instances stay under 3 KB per second each. */
+    /* The wait grows with the number of entry instances. With 320 entry
+     * instances the polls of each of them stay under 3 KB per second. */
     WAIT_MIN_MS = 600,
     WAIT_MAX_MS = 2000,
     WAIT_PER_ENTRY_MS = 20,
@@ -17,9 +17,10 @@
     UNHEALTHY_WAIT_MIN_MS = 100,
 };
 
-/* Fraction of the revocation bound. An entry instance is not ready once half
- * of the bound has passed since its configuration was last confirmed, and an
- * answer may be delayed. */
+/* Maximum wait at the leader, as a fraction of the revocation bound. An entry
+ * instance is not ready once half of the bound has passed since its
+ * configuration was last confirmed; a wait of a quarter leaves time for an
+ * answer that is delayed. */
 static const double CONFIRM_FRACTION = 0.25;
 
 guint32
--- a/policy/usage_book.c
+++ b/policy/usage_book.c
@@ -161,8 +161,8 @@
     return any;
 }
 
-/* After an outage of more windows than are kept, skips the windows that no
- * entry instance has counts of any more. */
+/* After an outage of more windows than are kept, skips the windows that all
+ * entry instances have dropped. */
 static guint64
 skip_unreported(const usage_book_t *b, const usage_schedule_t *schedule,
                 guint64 finalized_through, guint64 window, gint64 wall_us)
