--- a/carobloomd/process/peers_task.c
+++ b/carobloomd/process/peers_task.c
@@ -209,7 +209,7 @@
 check_version(peers_task_t *p)
 {
     guint64 member;
-    guint64 best = membership_newest_version(p->membership, &member);
+    guint64 best = membership_newest_config_version(p->membership, &member);
     if (best > p->version) {
         task_send(p->process->voter,
                   MESSAGE(version_message_t,
@@ -483,7 +483,7 @@
         break;
     case PEERS_VERSION:
         p->version = ((version_message_t *)message)->version;
-        membership_set_version(p->membership, p->version);
+        membership_set_config_version(p->membership, p->version);
         break;
     case PEERS_LEAVE:
         membership_set_draining(p->membership, g_get_monotonic_time());
--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -129,7 +129,7 @@
                            guint64 part);
 /* Applies the reports of entry instances on parts that they sent;
  * part_copy_t. */
-void directory_apply_parts(directory_t *directory, const GArray *notes);
+void directory_apply_parts(directory_t *directory, const GArray *copies);
 /* Returns the record of an endpoint's limit, created if missing. The record
  * lives as long as the endpoint. */
 endpoint_limit_t *directory_limit(directory_t *directory,
--- a/include/carobloom/policy/endpoint_set.h
+++ b/include/carobloom/policy/endpoint_set.h
@@ -21,10 +21,10 @@
  * any state but ENDPOINT_OK is degraded. */
 typedef enum {
     ENDPOINT_OK,
-    ENDPOINT_SLOW,    /* straggler: only a fraction of its slots is used */
-    ENDPOINT_EJECTED, /* failing: in backoff until probe_at_us */
-    ENDPOINT_PROBING, /* recovery check: one request at a time */
-    ENDPOINT_LEAVING, /* announced that it leaves, or stopped reporting */
+    ENDPOINT_SLOW,       /* straggler: only a fraction of its slots is used */
+    ENDPOINT_EJECTED,    /* failing: in backoff until recovery_check_at_us */
+    ENDPOINT_RECOVERING, /* recovery check: one request at a time */
+    ENDPOINT_LEAVING,    /* announced that it leaves, or stopped reporting */
 } endpoint_health_t;
 
 /* Requests in flight from `at_us` until the next sample. */
@@ -44,7 +44,7 @@
     double token_us; /* measured time per token of one stream */
     guint samples;
     guint failures; /* consecutive */
-    gint64 probe_at_us;
+    gint64 recovery_check_at_us;
     gint64 backoff_us;
     gint64 last_report_us; /* time of the last report */
     endpoint_sample_t history[ENDPOINT_HISTORY];
--- a/include/carobloom/policy/membership.h
+++ b/include/carobloom/policy/membership.h
@@ -75,10 +75,10 @@
 void membership_set_draining(membership_t *membership, gint64 now_us);
 /* Sets the version of the configuration in force at this instance, which is
  * sent with each message. */
-void membership_set_version(membership_t *membership, guint64 version);
+void membership_set_config_version(membership_t *membership, guint64 version);
 /* The highest configuration version known, and the member that has it. */
-guint64 membership_newest_version(const membership_t *membership,
-                                  guint64 *member);
+guint64 membership_newest_config_version(const membership_t *membership,
+                                         guint64 *member);
 
 /* Takes the messages to send: a GPtrArray of membership_message_t that frees
  * its elements. */
--- a/policy/capacity_plan.c
+++ b/policy/capacity_plan.c
@@ -114,12 +114,12 @@
 static guint
 engines_ready(const capacity_data_centre_t *data_centres, guint count)
 {
-    guint present = 0;
+    guint ready_total = 0;
     for (guint i = 0; i < count; i++) {
-        present += data_centres[i].ready[ENGINES_ON_DEMAND] +
-                   data_centres[i].ready[ENGINES_RECLAIMABLE];
+        ready_total += data_centres[i].ready[ENGINES_ON_DEMAND] +
+                       data_centres[i].ready[ENGINES_RECLAIMABLE];
     }
-    return present;
+    return ready_total;
 }
 
 /* Records when demand was first seen. If demand is already there at the first
@@ -260,44 +260,44 @@
  * least 1/CROWDED_DIVISOR of `max_engines`. Without demand, 1/IDLE_DIVISOR of
  * `max_engines` is enough. Both fractions are at least one engine. */
 static guint
-on_demand_when_crowded(const capacity_data_centre_t *p, guint max_engines)
+on_demand_when_crowded(const capacity_data_centre_t *dc, guint max_engines)
 {
-    guint on_demand = p->ordered[ENGINES_ON_DEMAND];
+    guint on_demand = dc->ordered[ENGINES_ON_DEMAND];
     guint batch = MAX(max_engines / CROWDED_DIVISOR, 1);
     guint idle = MAX(max_engines / IDLE_DIVISOR, 1);
-    if (p->idle && on_demand > idle) {
+    if (dc->idle && on_demand > idle) {
         return idle;
     }
-    guint ready = p->ready[ENGINES_RECLAIMABLE];
+    guint ready = dc->ready[ENGINES_RECLAIMABLE];
     guint room = max_engines - MIN(on_demand, max_engines);
-    guint next = MIN(p->wanted[ENGINES_RECLAIMABLE], room);
-    if (p->ordered[ENGINES_RECLAIMABLE] < next || ready < next) {
+    guint next = MIN(dc->wanted[ENGINES_RECLAIMABLE], room);
+    if (dc->ordered[ENGINES_RECLAIMABLE] < next || ready < next) {
         return on_demand;
     }
     return on_demand - MIN(on_demand, MAX(ready, batch));
 }
 
 guint
-capacity_next_order(const capacity_data_centre_t *p, supply_kind_t kind,
+capacity_next_order(const capacity_data_centre_t *dc, supply_kind_t kind,
                     guint max_engines)
 {
-    guint on_demand = p->ordered[ENGINES_ON_DEMAND];
-    guint wanted = p->wanted[ENGINES_ON_DEMAND];
-    guint reclaimable_wanted = p->wanted[ENGINES_RECLAIMABLE];
-    guint reclaimable_ready = p->ready[ENGINES_RECLAIMABLE];
+    guint on_demand = dc->ordered[ENGINES_ON_DEMAND];
+    guint wanted = dc->wanted[ENGINES_ON_DEMAND];
+    guint reclaimable_wanted = dc->wanted[ENGINES_RECLAIMABLE];
+    guint reclaimable_ready = dc->ready[ENGINES_RECLAIMABLE];
     if (kind == ENGINES_RECLAIMABLE) {
         return MIN(reclaimable_wanted,
                    max_engines - MIN(on_demand, max_engines));
     }
     if (wanted >= on_demand) {
-        return MIN(wanted, max_engines - MIN(p->ordered[ENGINES_RECLAIMABLE],
+        return MIN(wanted, max_engines - MIN(dc->ordered[ENGINES_RECLAIMABLE],
                                              max_engines));
     }
     /* Each ready reclaimable engine releases an on-demand engine. */
     guint missing =
         reclaimable_wanted - MIN(reclaimable_wanted, reclaimable_ready);
     guint target = reclaimable_wanted + on_demand > max_engines
-                       ? on_demand_when_crowded(p, max_engines)
+                       ? on_demand_when_crowded(dc, max_engines)
                        : wanted + missing;
     return CLAMP(target, wanted, on_demand);
 }
--- a/policy/directory.c
+++ b/policy/directory.c
@@ -508,22 +508,22 @@
     return load != NULL ? *load : (endpoint_load_t){0};
 }
 
-/* Returns `sum` less `part`, the loads that this instance reported. `part` may
+/* Returns `sum` less `own`, the loads that this instance reported. `own` may
  * be newer than the sum, and so larger; the difference is then 0. */
 static endpoint_load_t
-load_subtract(endpoint_load_t sum, endpoint_load_t part)
+load_subtract(endpoint_load_t sum, endpoint_load_t own)
 {
     return (endpoint_load_t){
         .endpoint = sum.endpoint,
-        .running = sum.running - MIN(sum.running, part.running),
+        .running = sum.running - MIN(sum.running, own.running),
         .prompt_tokens =
-            sum.prompt_tokens - MIN(sum.prompt_tokens, part.prompt_tokens),
+            sum.prompt_tokens - MIN(sum.prompt_tokens, own.prompt_tokens),
         .waiting_tokens =
-            sum.waiting_tokens - MIN(sum.waiting_tokens, part.waiting_tokens),
+            sum.waiting_tokens - MIN(sum.waiting_tokens, own.waiting_tokens),
         .long_running =
-            sum.long_running - MIN(sum.long_running, part.long_running),
+            sum.long_running - MIN(sum.long_running, own.long_running),
         .long_waiting =
-            sum.long_waiting - MIN(sum.long_waiting, part.long_waiting),
+            sum.long_waiting - MIN(sum.long_waiting, own.long_waiting),
     };
 }
 
@@ -634,11 +634,11 @@
 endpoint_parts_max(const directory_t *d)
 {
     guint share = TOTAL_PARTS_MAX / MAX(directory_count(d), 1);
-    guint most = ENDPOINT_PARTS_MAX;
-    while (most > ENDPOINT_PARTS_MIN && most > share) {
-        most /= 2;
+    guint max = ENDPOINT_PARTS_MAX;
+    while (max > ENDPOINT_PARTS_MIN && max > share) {
+        max /= 2;
     }
-    return most;
+    return max;
 }
 
 void
@@ -648,13 +648,13 @@
 }
 
 void
-directory_apply_parts(directory_t *d, const GArray *notes)
+directory_apply_parts(directory_t *d, const GArray *copies)
 {
-    for (guint i = 0; i < notes->len; i++) {
-        const part_copy_t *note = &g_array_index(notes, part_copy_t, i);
-        endpoint_t *e = endpoint_by_hash(d, note->endpoint);
+    for (guint i = 0; i < copies->len; i++) {
+        const part_copy_t *copy = &g_array_index(copies, part_copy_t, i);
+        endpoint_t *e = endpoint_by_hash(d, copy->endpoint);
         if (e != NULL) {
-            directory_record_part(d, e, note->part);
+            directory_record_part(d, e, copy->part);
         }
     }
 }
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -7,7 +7,7 @@
 static const double IDLE_COST = 0.5;
 static const double SLOW_RATIO = 2.0;      /* of the median: a straggler */
 static const double RECOVERED_RATIO = 1.5; /* of the median: recovered */
-static const double EJECTED_MAX_FRACTION = 0.34; /* of a pool, at once */
+static const double DEGRADED_MAX_FRACTION = 0.34; /* of a pool, at once */
 enum {
     FAILURES_TO_EJECT = 2,
     SPEED_SAMPLES_MIN = 3,
@@ -69,7 +69,7 @@
         return e->slots;
     case ENDPOINT_SLOW:
         return MAX(1, e->slots / SLOW_SLOT_DIVISOR);
-    case ENDPOINT_PROBING:
+    case ENDPOINT_RECOVERING:
         return 1;
     case ENDPOINT_EJECTED:
     case ENDPOINT_LEAVING:
@@ -359,7 +359,7 @@
 
 /* Number of degraded endpoints, without those that leave. */
 static guint
-count_unhealthy(const endpoint_set_t *set)
+count_degraded(const endpoint_set_t *set)
 {
     guint count = 0;
     GHashTableIter iter;
@@ -368,20 +368,20 @@
     while (g_hash_table_iter_next(&iter, NULL, &value)) {
         endpoint_health_t health = ((endpoint_state_t *)value)->health;
         count += health == ENDPOINT_EJECTED || health == ENDPOINT_SLOW ||
-                 health == ENDPOINT_PROBING;
+                 health == ENDPOINT_RECOVERING;
     }
     return count;
 }
 
 /* Whether one more endpoint may become slow or be ejected: at most
- * EJECTED_MAX_FRACTION of the pool, or one endpoint of a small pool, but never
- * its only endpoint. */
+ * DEGRADED_MAX_FRACTION of the pool, or one endpoint of a small pool, but
+ * never its only endpoint. */
 static gboolean
-may_eject(const endpoint_set_t *set)
+may_degrade(const endpoint_set_t *set)
 {
     guint count = g_hash_table_size(set->by_id);
-    return count_unhealthy(set) + 1 <=
-               MAX(1, (guint)(EJECTED_MAX_FRACTION * count)) &&
+    return count_degraded(set) + 1 <=
+               MAX(1, (guint)(DEGRADED_MAX_FRACTION * count)) &&
            count > 1;
 }
 
@@ -389,14 +389,14 @@
 record_failure(endpoint_set_t *set, endpoint_state_t *e, gint64 now_us)
 {
     e->failures++;
-    gboolean probing = e->health == ENDPOINT_PROBING;
-    gboolean can_eject = e->health == ENDPOINT_OK && may_eject(set);
-    if (e->failures < FAILURES_TO_EJECT && !probing) {
+    gboolean recovering = e->health == ENDPOINT_RECOVERING;
+    gboolean can_degrade = e->health == ENDPOINT_OK && may_degrade(set);
+    if (e->failures < FAILURES_TO_EJECT && !recovering) {
         return;
     }
-    if (probing || can_eject || e->health == ENDPOINT_SLOW) {
+    if (recovering || can_degrade || e->health == ENDPOINT_SLOW) {
         e->health = ENDPOINT_EJECTED;
-        e->probe_at_us = now_us + e->backoff_us;
+        e->recovery_check_at_us = now_us + e->backoff_us;
         e->backoff_us = MIN(e->backoff_us * 2, BACKOFF_MAX_US);
     }
 }
@@ -405,7 +405,7 @@
 record_success(endpoint_state_t *e)
 {
     e->failures = 0;
-    if (e->health == ENDPOINT_PROBING) {
+    if (e->health == ENDPOINT_RECOVERING) {
         e->health = ENDPOINT_OK;
         e->backoff_us = BACKOFF_MIN_US;
     }
@@ -469,14 +469,15 @@
     gboolean measured =
         e->samples >= SPEED_SAMPLES_MIN && set->median_token_us > 0;
     double ratio = measured ? e->token_us / set->median_token_us : 1;
-    if (e->health == ENDPOINT_OK && ratio > SLOW_RATIO && may_eject(set)) {
+    if (e->health == ENDPOINT_OK && ratio > SLOW_RATIO && may_degrade(set)) {
         e->health = ENDPOINT_SLOW;
     }
     else if (e->health == ENDPOINT_SLOW && ratio < RECOVERED_RATIO) {
         e->health = ENDPOINT_OK;
     }
-    else if (e->health == ENDPOINT_EJECTED && now_us >= e->probe_at_us) {
-        e->health = ENDPOINT_PROBING;
+    else if (e->health == ENDPOINT_EJECTED &&
+             now_us >= e->recovery_check_at_us) {
+        e->health = ENDPOINT_RECOVERING;
     }
 }
 
@@ -536,7 +537,7 @@
 {
     static const char *const names[] = {
         [ENDPOINT_OK] = "ok",           [ENDPOINT_SLOW] = "slow",
-        [ENDPOINT_EJECTED] = "ejected", [ENDPOINT_PROBING] = "probing",
+        [ENDPOINT_EJECTED] = "ejected", [ENDPOINT_RECOVERING] = "probing",
         [ENDPOINT_LEAVING] = "leaving",
     };
     return names[health];
--- a/policy/membership.c
+++ b/policy/membership.c
@@ -650,7 +650,7 @@
 }
 
 void
-membership_set_version(membership_t *m, guint64 version)
+membership_set_config_version(membership_t *m, guint64 version)
 {
     m->version = version;
     if (version >= m->newest_version) {
@@ -660,7 +660,7 @@
 }
 
 guint64
-membership_newest_version(const membership_t *m, guint64 *member)
+membership_newest_config_version(const membership_t *m, guint64 *member)
 {
     *member = m->newest_version_member;
     return m->newest_version;
--- a/policy/registry.c
+++ b/policy/registry.c
@@ -19,7 +19,7 @@
 } lease_entry_t;
 
 struct registry {
-    gint64 silence_timeout_us;
+    gint64 expiry_timeout_us;
     GHashTable *by_id; /* lease_entry_t, owned */
     GQueue changes;    /* lease_entry_t, newest change at the tail */
     guint64 cursor;
@@ -37,7 +37,7 @@
 registry_create(gint64 heartbeat_us)
 {
     registry_t *r = g_new0(registry_t, 1);
-    r->silence_timeout_us =
+    r->expiry_timeout_us =
         MISSED_HEARTBEATS_MAX * heartbeat_us + HEARTBEAT_DELAY_MAX_US;
     r->by_id =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, lease_entry_free);
@@ -154,7 +154,7 @@
             g_queue_delete_link(&r->changes, entry->link);
             g_hash_table_iter_remove(&iter);
         }
-        else if (age > r->silence_timeout_us &&
+        else if (age > r->expiry_timeout_us &&
                  entry->lease.state != LEASE_LEFT &&
                  entry->lease.state != LEASE_EXPIRED) {
             entry->lease.state = LEASE_EXPIRED;
