--- a/include/carobloom/policy/endpoint.h
+++ b/include/carobloom/policy/endpoint.h
@@ -45,12 +45,14 @@
     endpoint_load_t others;   /* of other entry instances, as reported */
     gboolean has_others_load; /* `others` holds a reported load */
     /* health */
-    double failures;         /* decaying fraction of failed requests */
-    gint64 backoff_until_us; /* no requests until then, after failures */
-    gint64 backoff_us;    /* length of the last one; 0: none since a success */
-    gint64 full_until_us; /* no requests until then, after refusals */
-    gint64
-        full_backoff_us; /* length of the last one; 0: none since a success */
+    double failures; /* decaying fraction of failed requests */
+    /* Backoff after failures: no requests until then, and its length, which
+     * doubles; 0: no backoff since the last success. */
+    gint64 backoff_until_us;
+    gint64 backoff_us;
+    /* The same after refusals. */
+    gint64 full_until_us;
+    gint64 full_backoff_us;
     endpoint_limit_t *limit; /* NULL: the endpoint never announced a limit */
     part_set_t parts;        /* of prompts that were recently sent there */
     void *connections;       /* owned by the caller */
