--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -108,14 +108,14 @@
 
 /* The plan after three minutes of constant demand. */
 static const plan_case_t PLAN_CASES[] = {
-    {"cheap ones only", 0.22, 1, 3, 0, 160, 0, 0, 20, 40},
-    {"a part of them kept", 0.22, 0.5, 3, 0, 160, 10, 20, 10, 20},
-    {"no second price", 0, 1, 3, 0, 160, 20, 40, 0, 0},
+    {"reclaimable engines only", 0.22, 1, 3, 0, 160, 0, 0, 20, 40},
+    {"half of them reclaimable", 0.22, 0.5, 3, 0, 160, 10, 20, 10, 20},
+    {"no price of reclaimable engines", 0, 1, 3, 0, 160, 20, 40, 0, 0},
     {"one data centre", 0.22, 1, 1, 0, 160, 0, 0, 20, 40},
-    {"the operator's ceiling", 0.22, 1, 3, 12, 160, 0, 0, 12, 12},
+    {"the operator's maximum", 0.22, 1, 3, 12, 160, 0, 0, 12, 12},
     {"as many as the platform allows", 0.22, 1, 3, 0, 5000, 0, 0, 180, 180},
-    {"next to nothing", 0.22, 1, 3, 0, 0.1, 0, 0, 3, 3},
-    {"reclaimable ones that cost as much", 1, 1, 3, 0, 160, 20, 40, 0, 0},
+    {"minimal demand", 0.22, 1, 3, 0, 0.1, 0, 0, 3, 3},
+    {"reclaimable engines at full price", 1, 1, 3, 0, 160, 20, 40, 0, 0},
 };
 
 static void
@@ -653,13 +653,13 @@
 }
 
 static const sim_case_t SIM_CASES[] = {
-    {"all stand", NULL, SIM_ENGINES, 61},
-    {"a third stands", NULL, SIM_ENGINES / 3, 61},
+    {"all engines ready", NULL, SIM_ENGINES, 61},
+    {"a third of the engines ready", NULL, SIM_ENGINES / 3, 61},
     {"model", "model", 0, 61},
     {"share", "share", 0, 61},
-    {"all stand, half the speed", NULL, SIM_ENGINES, 30},
+    {"all engines ready, half the speed", NULL, SIM_ENGINES, 30},
     {"model, half the speed", "model", 0, 30},
-    {"all stand, twice the speed", NULL, SIM_ENGINES, 122},
+    {"all engines ready, twice the speed", NULL, SIM_ENGINES, 122},
     {"model, twice the speed", "model", 0, 122},
 };
 
@@ -689,14 +689,15 @@
 static const test_case_t cases[] = {
     {"demand", test_demand},
     {"plans", test_plans},
-    {"before anything is known", test_before_demand},
-    {"a new holder", test_new_holder},
-    {"no swing", test_no_oscillation},
-    {"a load beyond all that is allowed", test_demand_beyond_bounds},
-    {"a data centre has none to give", test_reclaimable_unavailable},
-    {"one kind gives way to the other", test_exchange},
-    {"one kind gives way while nobody asks", test_exchange_while_idle},
-    {"loads played", test_simulated_loads},
+    {"before any demand", test_before_demand},
+    {"a new duty holder", test_new_holder},
+    {"no oscillation", test_no_oscillation},
+    {"demand beyond the maximum", test_demand_beyond_bounds},
+    {"a data centre without reclaimable engines",
+     test_reclaimable_unavailable},
+    {"reclaimable engines replace on-demand engines", test_exchange},
+    {"replacement without demand", test_exchange_while_idle},
+    {"simulated loads", test_simulated_loads},
 };
 
 CHECK_MAIN("capacity", cases)
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -321,13 +321,13 @@
 
 static const test_case_t CASES[] = {
     {"memory for prompt parts is bounded", test_memory},
-    {"loads are taken at the cost of the busy endpoints", test_load_visits},
+    {"loads cost as much as the busy endpoints", test_load_visits},
     {"leases come in bounded answers", test_initial_leases},
     {"entry instances that come one by one", test_entry_count_changes},
-    {"answers that are not read", test_answers_held},
-    {"confirmations in time however many ask", test_confirmations},
+    {"answers that callers don't read", test_answers_held},
+    {"confirmations in time at any number of polls", test_confirmations},
     {"few endpoints: all parts are remembered", test_memory_of_few},
-    {"asks about limits", test_limit_requests},
+    {"grant requests for limits", test_limit_requests},
 };
 
 CHECK_MAIN("costs", CASES)
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -26,10 +26,10 @@
 
 static const lease_case_t LEASE_CASES[] = {
     {"a new site", TRUE, -1, 500, 500},
-    {"a process that may have acted before its start", FALSE, -1, 500, 3500},
+    {"an earlier process may have made calls", FALSE, -1, 500, 3500},
     {"long after its start", FALSE, -1, 20000, 20000},
-    {"it acted a moment ago", TRUE, 1000, 2000, 5000},
-    {"it acted long ago", TRUE, 1000, 30000, 30000},
+    {"recent call", TRUE, 1000, 2000, 5000},
+    {"call long ago", TRUE, 1000, 30000, 30000},
 };
 
 static void
@@ -187,10 +187,10 @@
 } finalize_case_t;
 
 static const finalize_case_t FINALIZE_CASES[] = {
-    {"a holder that led all along", -30, 1500},
-    {"one that has just come waits for the reports", 1, 3500},
-    {"but not beyond the time that is left", 6, 7500},
-    {"one that came late fixes what it was told", 20, 20000},
+    {"leader since before the window's end", -30, 1500},
+    {"a new leader waits for the reports", 1, 3500},
+    {"a late leader waits until the latest time", 6, 7500},
+    {"a leader after the latest time doesn't wait", 20, 20000},
 };
 
 static void
@@ -511,15 +511,15 @@
 }
 
 static const test_case_t cases[] = {
-    {"when the lease lets act", test_lease},
+    {"when the lease allows calls", test_lease},
     {"the time of day by the median", test_clock},
-    {"a silent clock is forgotten", test_clock_expires},
+    {"clocks without reports expire", test_clock_expires},
     {"reports count once", test_reports_count_once},
-    {"windows are fixed in time", test_windows_finalized_in_time},
-    {"windows wait for who fell silent", test_window_waits_for_reports},
-    {"windows in a row", test_windows_in_order},
-    {"figures never change", test_figures_never_change},
-    {"the log, old and new", test_log_state},
+    {"windows are finalized in time", test_windows_finalized_in_time},
+    {"windows wait for overdue reports", test_window_waits_for_reports},
+    {"windows without gaps", test_windows_in_order},
+    {"counts of a final window don't change", test_figures_never_change},
+    {"logs of old and new versions", test_log_state},
     {"counts are bounded", test_tally_is_bounded},
     {"reports on the wire", test_report_wire},
     {"damaged bytes", test_report_damaged},
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -168,8 +168,8 @@
 }
 
 static const test_case_t cases[] = {
-    {"all meet", test_all_members_join},
-    {"the dead are found and come back",
+    {"all members join", test_all_members_join},
+    {"dead members are detected and rejoin",
      test_dead_member_detected_and_rejoins},
     {"one link down", test_one_link_down},
     {"an unknown member introduces itself",
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -302,15 +302,17 @@
 static const test_case_t cases[] = {
     {"heap orders", test_heap_orders},
     {"quantile within its factor", test_quantile_within_factor},
-    {"bucket says when", test_bucket_wait},
+    {"time until the bucket has a token", test_bucket_wait},
     {"retry budget bounds a storm", test_retry_budget_bounds_storm},
-    {"rendezvous moves little", test_rendezvous_moves_little},
-    {"events are read however they are cut", test_sse_cases},
+    {"rendezvous hashing moves few keys", test_rendezvous_moves_little},
+    {"events are read at any split", test_sse_cases},
     {"events are bounded", test_sse_bounds_memory},
-    {"not repeatable runs at most once", test_lifecycle_at_most_once},
+    {"requests that can't repeat run at most once",
+     test_lifecycle_at_most_once},
     {"resumes only where permitted",
      test_lifecycle_resume_only_where_permitted},
-    {"the life's page is its table", test_lifecycle_page_is_the_table},
+    {"the documented lifecycle is the table",
+     test_lifecycle_page_is_the_table},
     {"timers on a manual clock", test_timers_manual_clock},
 };
 
--- a/tests/test_routing.c
+++ b/tests/test_routing.c
@@ -123,8 +123,8 @@
      0},
     {"prices that are none", "{\"Max\":9,\"ZonePrices\":{\"za\":\"x\"}}", 0, 0,
      9, 0},
-    {"least over most", "{\"Min\":20,\"Max\":9,\"ZonePrices\":{\"za\":1}}", 1,
-     9, 9, 0},
+    {"minimum above the maximum",
+     "{\"Min\":20,\"Max\":9,\"ZonePrices\":{\"za\":1}}", 1, 9, 9, 0},
 };
 
 /* Guards against a configuration that is refused for its offer of engines: an
@@ -783,14 +783,14 @@
     {"faults of settings are named", test_settings},
     {"the sample settings have none", test_sample_settings},
     {"a client sets only what is its own", test_request_fields},
-    {"events are told apart however they come", test_events},
-    {"limits that answers name", test_limit_field},
+    {"events are separated however they arrive", test_events},
+    {"limits that answers announce", test_limit_field},
     {"repeats stay under the common budget", test_repeat_budget},
     {"repeats stay under it while instances are counted wrong",
      test_repeat_budget_miscounted},
     {"differences of configurations", test_delta},
-    {"questions are read as written", test_sync_request},
-    {"news are read as written", test_sync_wire},
+    {"sync requests are read as written", test_sync_request},
+    {"sync replies are read as written", test_sync_wire},
 };
 
 CHECK_MAIN("routing", CASES)
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -381,7 +381,7 @@
 static const test_case_t cases[] = {
     {"invariants over random orders", test_invariants},
     {"teams share by weight", test_teams_share},
-    {"a lost settlement gives its slot back", test_lost_settlement},
+    {"a lost settlement frees its slot", test_lost_settlement},
 };
 
 CHECK_MAIN("scheduler", cases)
--- a/tests/test_voter.c
+++ b/tests/test_voter.c
@@ -993,7 +993,7 @@
 }
 
 static const test_case_t cases[] = {
-    {"what clients saw is linearizable", test_histories},
+    {"client histories are linearizable", test_histories},
     {"duties have one holder at a time", test_single_duty_holder},
     {"malformed messages are refused", test_codec_rejects_malformed},
 };
