--- a/include/carobloom/policy/directory.h
+++ b/include/carobloom/policy/directory.h
@@ -117,9 +117,9 @@
 /* Returns a new array of endpoint_load_t: this instance's requests in
  * flight. */
 GArray *directory_loads(directory_t *directory);
-/* Applies the sums over all entry instances. `own` is what this
- * instance itself reported, which the sums include. An endpoint without a sum
- * runs no request of other instances. */
+/* Applies the sums over all entry instances. `own` holds the
+ * loads that this instance reported, which the sums include. An endpoint
+ * without a sum runs no request of other instances. */
 void directory_apply_loads(directory_t *directory, const GArray *sums,
                            const GArray *own);
 /* Records that a prompt with this part is sent to an endpoint. The total over
--- a/include/carobloom/policy/duty_lease.h
+++ b/include/carobloom/policy/duty_lease.h
@@ -13,7 +13,7 @@
 /* State of the lease; set it up with duty_lease_init. */
 typedef struct {
     /* After calls of instance A and then of instance B, the platform must not
-     * see a call of A within this time of the first. */
+     * see another call of A within this time of A's first call. */
     gint64 alternation_us;
     guint64 token;        /* of the lease; 0: not held */
     gint64 valid_from_us; /* first time at which calls are allowed */
--- a/include/carobloom/policy/endpoint_end.h
+++ b/include/carobloom/policy/endpoint_end.h
@@ -1,5 +1,5 @@
-/* The end of an endpoint's process that did not announce that it leaves, and
- * the requests that were running there. */
+/* An end of an endpoint's process that the endpoint did not announce, such as
+ * a crash, and the requests that were running there. */
 #ifndef CAROBLOOM_POLICY_ENDPOINT_END_H
 #define CAROBLOOM_POLICY_ENDPOINT_END_H
 
--- a/include/carobloom/policy/lifecycle.h
+++ b/include/carobloom/policy/lifecycle.h
@@ -31,7 +31,7 @@
     LIFECYCLE_EVENT_WRITING, /* the first byte is about to be sent */
     LIFECYCLE_EVENT_PART,    /* a part of the answer was sent to the caller */
     LIFECYCLE_EVENT_END,     /* the endpoint's own end marker */
-    LIFECYCLE_EVENT_NOT_RUN, /* the endpoint answered that it did not run it */
+    LIFECYCLE_EVENT_NOT_RUN, /* answered that the request was not run */
     LIFECYCLE_EVENT_BROKEN,  /* connection lost, wrong id, or timeout */
     LIFECYCLE_EVENT_PREEMPT,
     LIFECYCLE_EVENT_CALLER_LEFT,
--- a/policy/endpoint_set.c
+++ b/policy/endpoint_set.c
@@ -3,7 +3,8 @@
 #include <math.h>
 
 static const double TOKEN_TIME_SMOOTHING = 0.2;
-/* Time per token at an idle endpoint, relative to a full endpoint. */
+/* Time per token at an idle endpoint. The fraction of used slots, 1 at a full
+ * endpoint, is added to it. */
 static const double IDLE_COST = 0.5;
 static const double SLOW_RATIO = 2.0;      /* of the median: a straggler */
 static const double RECOVERED_RATIO = 1.5; /* of the median: recovered */
--- a/tests/test_costs.c
+++ b/tests/test_costs.c
@@ -277,8 +277,8 @@
     CU_ASSERT(initial_lease_bytes(LARGE) <= (gsize)LARGE * LEASE_BYTES);
 }
 
-/* Guards against grant requests for every limit that any endpoint named. An
- * endpoint that this instance doesn't need costs nothing; any other costs a
+/* Guards against grant requests for every limit that any endpoint announced.
+ * An endpoint that this instance doesn't need costs nothing; any other costs a
  * fixed number of bytes. */
 static void
 test_limit_requests(void)
