--- a/policy/crash_ledger.c
+++ b/policy/crash_ledger.c
@@ -1,7 +1,7 @@
 #include "carobloom/policy/crash_ledger.h"
 
 enum {
-    MS = 1000,
+    US_PER_MS = 1000,
     /* Ends after which a request is the cause. One may be coincidence, and so
      * may two if the caller retries at once; each further end costs an
      * endpoint and all requests that run there. */
@@ -9,18 +9,18 @@
     /* Two requests that share this many ends are rivals: only a further end
      * can tell which is the cause. */
     RIVAL_SHARED_ENDS_MIN = 2,
-    /* Rivals are quarantined together after this many ends. With the two
-     * probes that follow, the cause is sent three times after its third end,
-     * which is the most that operators accept. */
-    TIED_ENDS_MIN = 4,
+    /* Rivals are quarantined together after this many ends. After its third
+     * end, the cause is then sent three more times, the most that operators
+     * accept: once at the fourth end, and in two probes. */
+    RIVALS_QUARANTINE_ENDS_MIN = 4,
     /* A request is confirmed as the cause after this many probes during which
-     * its endpoint ended. One may be coincidence: it left a wrong request
-     * quarantined in 2 of 300 simulated histories. */
+     * its endpoint ended. One may be coincidence and, in rare cases (2 of
+     * 300 cases), would leave a wrong request quarantined. */
     FAILED_PROBES_MIN = 2,
     /* Duration of a probe; there is one at a time. Within it the caller
      * retries, the request is answered or cut off, and all control instances
      * learn the outcome. */
-    PROBE_US = 3000 * MS,
+    PROBE_US = 3000 * US_PER_MS,
     /* Weight of an end: half if the response had been streaming for long,
      * because a request that crashes its endpoint does so as it begins. */
     WEIGHT_BEGINNING = 2,
@@ -28,7 +28,7 @@
     /* Delay between reaching the threshold and the evaluation, in which the
      * other entry instances report what ran there as well. A tenth of the
      * three seconds within which all instances must know the result. */
-    SETTLE_US = 300 * MS,
+    EVALUATION_DELAY_US = 300 * US_PER_MS,
     /* Memory bounds: 33,000 suspects of 260 bytes, 8 MB. The requests of an
      * end may include those that waited as well as those in slots. */
     ENDS_MAX = 128,
@@ -73,7 +73,7 @@
 } suspect_t;
 
 struct crash_ledger {
-    gint64 memory_us;
+    gint64 retention_us;
     GHashTable *ends;     /* key -> end_record_t */
     GQueue by_age;        /* end_record_t, the oldest at the head */
     GHashTable *suspects; /* fingerprint -> suspect_t */
@@ -122,10 +122,10 @@
 }
 
 crash_ledger_t *
-crash_ledger_create(gint64 memory_us)
+crash_ledger_create(gint64 retention_us)
 {
     crash_ledger_t *l = g_new0(crash_ledger_t, 1);
-    l->memory_us = memory_us;
+    l->retention_us = retention_us;
     l->ends = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, end_free);
     l->suspects =
         g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, suspect_free);
@@ -145,9 +145,9 @@
 }
 
 void
-crash_ledger_set_memory(crash_ledger_t *l, gint64 memory_us)
+crash_ledger_set_retention(crash_ledger_t *l, gint64 retention_us)
 {
-    l->memory_us = memory_us;
+    l->retention_us = retention_us;
 }
 
 /* ---- suspects ---- */
@@ -228,7 +228,7 @@
 {
     if (s->quarantined_until_us == 0 && s->due_us == 0 &&
         suspect_weight(s) >= suspect_threshold(s, now_us)) {
-        s->due_us = now_us + SETTLE_US;
+        s->due_us = now_us + EVALUATION_DELAY_US;
         g_hash_table_add(l->due, s);
     }
 }
@@ -239,7 +239,8 @@
 order_update(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
     s->order_cursor = ++l->cursor;
-    s->order_expires_us = MAX(now_us, s->quarantined_until_us) + l->memory_us;
+    s->order_expires_us =
+        MAX(now_us, s->quarantined_until_us) + l->retention_us;
     if (s->link != NULL) {
         g_queue_unlink(&l->orders, s->link);
         g_queue_push_tail_link(&l->orders, s->link);
@@ -319,19 +320,19 @@
             s->ends[i].end->cause = s->fingerprint;
         }
     }
-    quarantine(l, s, now_us + l->memory_us, now_us);
+    quarantine(l, s, now_us + l->retention_us, now_us);
 }
 
 /* Confirms an uncertain suspect as the cause, and releases uncertain suspects
  * that were only at its ends. A confirmed suspect doesn't become uncertain
- * again while it is quarantined: that would send the cause a fourth time, as
- * in 9 of 20,000 simulated histories. */
+ * again while it is quarantined: otherwise, in rare cases (9 of
+ * 20,000), the cause would be sent a fourth time. */
 static void
 confirm_cause(crash_ledger_t *l, suspect_t *s, gint64 now_us)
 {
     clear_uncertain(l, s);
     s->confirmed = TRUE;
-    s->quarantined_until_us = now_us + l->memory_us;
+    s->quarantined_until_us = now_us + l->retention_us;
     order_update(l, s, now_us);
     for (guint i = 0; i < s->count; i++) {
         s->ends[i].end->cause = s->fingerprint;
@@ -489,7 +490,7 @@
     s->endpoints = g_strdup(order->endpoints);
     s->since_us = now_us - order->since_us;
     s->uncertain = order->uncertain;
-    quarantine(l, s, now_us + MIN(order->left_us, l->memory_us), now_us);
+    quarantine(l, s, now_us + MIN(order->left_us, l->retention_us), now_us);
     s->probed_us = now_us - PROBE_US; /* due for a probe at once */
 }
 
@@ -549,9 +550,9 @@
 }
 
 /* Requests that crash endpoints are rare. If several are quarantined, or there
- * are unexplained ends, some of them were probably at their three ends by
- * coincidence: so it was in 59 of 300 simulated histories with an unrelated
- * end every five seconds. Each stays uncertain until it was probed. */
+ * are unexplained ends, some of them probably ran at their three ends by
+ * coincidence: with an unrelated end every five seconds, this happens in one
+ * case of five. Each stays uncertain until it has been probed. */
 static void
 mark_quarantined_uncertain(crash_ledger_t *l, gint64 now_us)
 {
@@ -577,14 +578,16 @@
         g_hash_table_remove(l->due, s);
         return FALSE;
     }
-    gboolean tied = weight >= TIED_ENDS_MIN * WEIGHT_BEGINNING;
-    if (now_us < s->due_us && !tied) {
+    gboolean quarantine_rivals =
+        weight >= RIVALS_QUARANTINE_ENDS_MIN * WEIGHT_BEGINNING;
+    if (now_us < s->due_us && !quarantine_rivals) {
         return FALSE;
     }
     /* One rival is enough to postpone a decision, and there may be thousands.
      */
-    GPtrArray *rivals = rivals_of(l, s, tied ? END_REQUESTS_MAX : 1, now_us);
-    gboolean quarantined = rivals->len == 0 || tied;
+    GPtrArray *rivals =
+        rivals_of(l, s, quarantine_rivals ? END_REQUESTS_MAX : 1, now_us);
+    gboolean quarantined = rivals->len == 0 || quarantine_rivals;
     if (quarantined) {
         g_ptr_array_add(rivals, s);
         for (guint i = 0; i < rivals->len; i++) {
@@ -634,7 +637,7 @@
 {
     end_record_t *end;
     while ((end = g_queue_peek_head(&l->by_age)) != NULL &&
-           now_us - end->recorded_us > l->memory_us) {
+           now_us - end->recorded_us > l->retention_us) {
         end_remove(l, g_queue_pop_head(&l->by_age));
     }
 }
@@ -651,7 +654,7 @@
         if (s->quarantined_until_us != 0 &&
             now_us >= s->quarantined_until_us) {
             s->quarantined_until_us = 0;
-            s->probation_until_us = now_us + l->memory_us;
+            s->probation_until_us = now_us + l->retention_us;
             s->count = 0;
             l->quarantined--;
             clear_uncertain(l, s);
--- a/policy/endpoint_limit.c
+++ b/policy/endpoint_limit.c
@@ -1,24 +1,24 @@
 #include "carobloom/policy/endpoint_limit.h"
 
 enum {
-    MS = 1000,
+    US_PER_MS = 1000,
     /* How long an instance trusts its own responses over the owner's state,
      * which may not include its update yet. */
-    OWNER_LAG_US = 500 * MS,
+    OWNER_STATE_LAG_US = 500 * US_PER_MS,
     WANTED_MAX = 1000,
     /* Interval of reports to the relay while responses still carry the limit;
      * well below the time after which the relay discards a limit. */
-    RELAY_REPORT_US = 2000 * MS,
+    RELAY_REPORT_US = 2000 * US_PER_MS,
     /* How long a denied send is a reason to request grants: its caller
      * retries, or the next caller arrives, within that time. */
-    DENIED_US = 1000 * MS,
+    DENIED_US = 1000 * US_PER_MS,
 };
 
 const double LIMIT_SEND_RATE_MIN = 0.6;
 
-/* Share of the limit for all instances together that no owner replies to.
- * Added to what an owner may grant to the other instances, it stays below the
- * limit's bound. */
+/* Fraction of the limit that all instances without a reply from the owner may
+ * use together. Added to what an owner may grant to the other instances, it
+ * stays below the limit's bound. */
 static const double OWNERLESS_FRACTION = 0.15;
 
 /* Granted sends are kept unless the rate falls below this fraction of the
@@ -71,7 +71,7 @@
     l->limited = FALSE;
     l->lifted_us = lifted_us;
     l->lifted_by_response = by_response;
-    l->disputed = FALSE;
+    l->owner_still_limited = FALSE;
     drop_tokens(l);
     return LIMIT_LIFTED;
 }
@@ -107,9 +107,9 @@
 limit_change_t
 endpoint_limit_record_unlimited(endpoint_limit_t *l, gint64 sent_us)
 {
-    if (l->disputed && sent_us > l->lifted_us) {
+    if (l->owner_still_limited && sent_us > l->lifted_us) {
         l->lifted_us = sent_us;
-        l->disputed = FALSE;
+        l->owner_still_limited = FALSE;
         set_update_due(l);
     }
     if (!l->limited || sent_us <= MAX(l->rate_received_us, l->owner_rate_us)) {
@@ -128,9 +128,9 @@
     }
     if (!l->limited) {
         gboolean settled =
-            l->lifted_us == 0 || now_us - l->lifted_us >= OWNER_LAG_US;
+            l->lifted_us == 0 || now_us - l->lifted_us >= OWNER_STATE_LAG_US;
         if (!state->limited || !settled) {
-            l->disputed = state->limited;
+            l->owner_still_limited = state->limited;
             return LIMIT_UNCHANGED;
         }
         begin_limit(l, state->rate);
@@ -138,7 +138,7 @@
         return LIMIT_BEGUN;
     }
     if (l->rate_received_us != 0 &&
-        now_us - l->rate_received_us < OWNER_LAG_US) {
+        now_us - l->rate_received_us < OWNER_STATE_LAG_US) {
         l->relay_report_due = l->relay_report_due || !state->limited;
         return LIMIT_UNCHANGED;
     }
@@ -235,7 +235,7 @@
     if (at_us == 0) {
         return LIMIT_AGE_UNKNOWN;
     }
-    return (guint32)CLAMP((now_us - at_us) / MS, 0, G_MAXINT32);
+    return (guint32)CLAMP((now_us - at_us) / US_PER_MS, 0, G_MAXINT32);
 }
 
 static void
@@ -282,7 +282,8 @@
 endpoint_limit_apply_grant(endpoint_limit_t *l, const limit_grant_t *grant,
                            gint64 requested_us, gint64 now_us)
 {
-    gint64 until_us = requested_us + (gint64)LIMIT_GRANT_LIFETIME_MS * MS;
+    gint64 until_us =
+        requested_us + (gint64)LIMIT_GRANT_LIFETIME_MS * US_PER_MS;
     l->ownerless_send_us = 0;
     limit_change_t change =
         endpoint_limit_apply_state(l, &grant->state, now_us);
--- a/policy/limit_share.c
+++ b/policy/limit_share.c
@@ -7,14 +7,16 @@
 static const double DECAY_S = 2;
 /* Counts over a shorter period are too few for an estimate. */
 static const double SPAN_MIN_S = 0.5;
-/* Sends that urgent requests use are granted again within this number of
- * grants, so the demand of a longer period needs no reserve. */
+/* Sends are reserved for the demand until this number of further grants has
+ * arrived: those grants replace the sends that urgent requests use, so later
+ * demand needs no reserve. */
 static const double GRANTS_AHEAD = 3;
-/* The last send is reserved if more than this number of more urgent requests
- * is expected. */
-static const double EXPECTED_MIN = 0.15;
-/* More urgent requests per second: one per lifetime of a grant. */
-static const double FREQUENT_RATE = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
+/* One send is reserved for each expected more urgent request. The expected
+ * number is rounded up if its fraction exceeds this value, else down. */
+static const double ROUND_UP_FRACTION = 0.15;
+/* Minimum rate of more urgent requests, per second, at which they may get all
+ * granted sends: one per lifetime of a grant. */
+static const double FREQUENT_RATE_MIN = 1000.0 / LIMIT_GRANT_LIFETIME_MS;
 
 static void
 decay(limit_share_t *s, gint64 now_us)
@@ -26,10 +28,10 @@
     double decay_factor = exp(-elapsed_s / DECAY_S);
     s->decayed_us = now_us;
     s->span_s = s->span_s * decay_factor + DECAY_S * (1 - decay_factor);
-    s->grants *= decay_factor;
-    s->granted *= decay_factor;
+    s->grant_count *= decay_factor;
+    s->granted_sends *= decay_factor;
     for (guint i = 0; i < LIMIT_RANKS; i++) {
-        s->wanted[i] *= decay_factor;
+        s->wanted_sends[i] *= decay_factor;
     }
 }
 
@@ -40,15 +42,15 @@
         return;
     }
     decay(s, now_us);
-    s->grants++;
-    s->granted += count;
+    s->grant_count++;
+    s->granted_sends += count;
 }
 
 void
 limit_share_record_wanted(limit_share_t *s, guint rank, gint64 now_us)
 {
     decay(s, now_us);
-    s->wanted[MIN(rank, LIMIT_RANKS - 1)]++;
+    s->wanted_sends[MIN(rank, LIMIT_RANKS - 1)]++;
 }
 
 static double
@@ -56,7 +58,7 @@
 {
     double wanted = 0;
     for (guint i = 0; i < MIN(rank, LIMIT_RANKS - 1); i++) {
-        wanted += s->wanted[i];
+        wanted += s->wanted_sends[i];
     }
     return wanted;
 }
@@ -72,13 +74,13 @@
     double span_s = MAX(s->span_s, SPAN_MIN_S);
     double wanted = wanted_by_more_urgent(s, rank);
     double wanted_rate = wanted / span_s;
-    if (wanted >= s->granted && wanted_rate >= FREQUENT_RATE) {
+    if (wanted >= s->granted_sends && wanted_rate >= FREQUENT_RATE_MIN) {
         return TRUE; /* more urgent requests would use all sends */
     }
     double left_s = (double)tokens->left_us / G_USEC_PER_SEC;
-    if (s->grants > 0) {
-        left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grants);
+    if (s->grant_count > 0) {
+        left_s = MIN(left_s, GRANTS_AHEAD * span_s / s->grant_count);
     }
     double expected = wanted_rate * left_s;
-    return tokens->count < 1 - EXPECTED_MIN + expected;
+    return tokens->count < 1 - ROUND_UP_FRACTION + expected;
 }
--- a/tests/test_placement_load.c
+++ b/tests/test_placement_load.c
@@ -270,7 +270,7 @@
 }
 
 /* Records denied requests, for which the owner of the limits will be asked for
- * grants, and sends to engines that named a limit. */
+ * grants, and sends to engines that announced a limit. */
 static void
 record_limits(simulation_t *p, const placement_t *placed, double now_ms)
 {
@@ -833,7 +833,8 @@
               on_time[REPORTED_NONE][KIND_LONG]);
 }
 
-/* The maximum number of sends within 4 s to an engine that named a limit. */
+/* The maximum number of sends within 4 s to an engine that announced a limit.
+ */
 static guint
 max_in_window(const simulation_t *p)
 {
@@ -896,10 +897,10 @@
     {"bursts of either kind", test_bursts},
     {"few instances and many", test_many_instances},
     {"half of the prompts share a part", test_hot_part},
-    {"parts told among instances", test_parts_reported},
+    {"instances report parts to each other", test_parts_reported},
     {"expected first events", test_expected_first_events},
-    {"the busiest engines are told", test_busiest_reported},
-    {"engines that name limits, and the others", test_limited_engines},
+    {"only the busiest engines are reported", test_busiest_reported},
+    {"engines with and without announced limits", test_limited_engines},
 };
 
 CHECK_MAIN("placement under load", CASES)
