--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -45,7 +45,7 @@
     gint64 polled_us; /* clock_boot_us of the poll in flight */
     gint64 retry_us;
     gint64 answered_us; /* clock of the timers; 0: never */
-    gint64 named_us;    /* last listed as a control instance */
+    gint64 listed_us;   /* last listed as a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
@@ -126,9 +126,9 @@
     if (text == NULL) {
         return FALSE;
     }
-    gboolean sound = entry_apply_config(e, answer->version, text);
+    gboolean applied = entry_apply_config(e, answer->version, text);
     g_bytes_unref(text);
-    return sound;
+    return applied;
 }
 
 static control_link_t *
@@ -194,11 +194,11 @@
             return;
         }
         g_ptr_array_add(e->links, link);
-        link->named_us = entry_now(e);
+        link->listed_us = entry_now(e);
         link_poll(link);
     }
     if (link != NULL) {
-        link->named_us = entry_now(e);
+        link->listed_us = entry_now(e);
     }
 }
 
@@ -221,7 +221,7 @@
     gint64 now = entry_now(e);
     for (guint i = e->links->len; i > 0; i--) {
         control_link_t *link = e->links->pdata[i - 1];
-        if (link->lost && now - link->named_us > LOST_LIFETIME_US &&
+        if (link->lost && now - link->listed_us > LOST_LIFETIME_US &&
             now - link->answered_us > LOST_LIFETIME_US) {
             g_ptr_array_remove_index(e->links, i - 1);
             link_destroy(link);
@@ -233,8 +233,8 @@
 static void
 record_version(entry_t *e, guint64 version)
 {
-    guint64 here = e->config != NULL ? e->config->version : 0;
-    if (version > here && e->newer_config_since_us == 0) {
+    guint64 known_version = e->config != NULL ? e->config->version : 0;
+    if (version > known_version && e->newer_config_since_us == 0) {
         e->newer_config_since_us = entry_now(e);
     }
 }
@@ -244,9 +244,9 @@
 static gint64
 earliest_written_us(const control_link_t *link)
 {
-    gint64 since_us = clock_boot_us() - link->polled_us;
+    gint64 elapsed_us = clock_boot_us() - link->polled_us;
     gint64 held_us = inner_line_held_ms(link->line) * (gint64)MS;
-    return link->polled_us + CLAMP(held_us, 0, since_us);
+    return link->polled_us + CLAMP(held_us, 0, elapsed_us);
 }
 
 static void
@@ -278,8 +278,8 @@
     g_free(link->data_centre);
     link->data_centre = g_strdup(answer->data_centre);
     traffic_set_data_centre(e->traffic, link->address, answer->data_centre);
-    gboolean sound = apply_config(link, answer);
-    if (sound && answer->confirmed && e->config != NULL &&
+    gboolean applied = apply_config(link, answer);
+    if (applied && answer->confirmed && e->config != NULL &&
         e->config->version >= answer->version) {
         entry_record_confirmation(e, earliest_written_us(link));
     }
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -115,14 +115,14 @@
 
 /* ---- one control instance ---- */
 
-static void sender_due(void *data);
+static void sender_on_timer(void *data);
 
 static void
-sender_wait(crash_sender_t *s, gint64 us)
+sender_schedule(crash_sender_t *s, gint64 us)
 {
     timers_t *timers = s->link->entry->timers;
     timers_cancel(timers, s->timer);
-    s->timer = timers_subscribe(timers, us, 0, sender_due, s);
+    s->timer = timers_subscribe(timers, us, 0, sender_on_timer, s);
 }
 
 static void
@@ -130,7 +130,7 @@
 {
     s->retry_us = CLAMP(s->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
     counter_add(counter_get("crash_reports_failed_total", NULL, FALSE), 1);
-    sender_wait(s, s->retry_us);
+    sender_schedule(s, s->retry_us);
 }
 
 static void
@@ -144,7 +144,7 @@
     }
     s->retry_us = 0;
     s->acknowledged = MAX(s->acknowledged, s->sending);
-    sender_wait(s, REPORT_INTERVAL_US);
+    sender_schedule(s, REPORT_INTERVAL_US);
 }
 
 static void
@@ -180,7 +180,7 @@
 }
 
 static void
-sender_due(void *data)
+sender_on_timer(void *data)
 {
     crash_sender_t *s = data;
     s->timer = 0;
@@ -191,10 +191,10 @@
 /* Reports at once unless the sender pauses, retries or waits for an answer;
  * then its timer sends the next report. */
 static void
-sender_wake(crash_sender_t *s)
+sender_report_soon(crash_sender_t *s)
 {
     if (s->timer == 0 && !inner_line_is_busy(s->line)) {
-        sender_wait(s, 0);
+        sender_schedule(s, 0);
     }
 }
 
@@ -252,7 +252,7 @@
     gpointer sender;
     g_hash_table_iter_init(&iter, link->senders);
     while (g_hash_table_iter_next(&iter, NULL, &sender)) {
-        sender_wake(sender);
+        sender_report_soon(sender);
     }
 }
 
@@ -291,7 +291,7 @@
     s->epoch = epoch; /* restarted: all records are reported again */
     s->acknowledged = 0;
     s->sending = 0;
-    sender_wake(s);
+    sender_report_soon(s);
 }
 
 void
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -144,7 +144,7 @@
 
 /* Returns whether an update or a grant request to the owner is due. */
 static gboolean
-has_request(const owner_t *owner, const endpoint_t *e, gint64 now)
+is_request_due(const owner_t *owner, const endpoint_t *e, gint64 now)
 {
     return endpoint_limit_has_update(e->limit) ||
            (now >= owner->next_grants_us &&
@@ -153,20 +153,21 @@
 
 /* Returns whether a report to the relay of the limit is due. */
 static gboolean
-has_report(const owner_t *owner, const endpoint_t *e)
+is_report_due(const owner_t *owner, const endpoint_t *e)
 {
     return endpoint_limit_has_report(e->limit) &&
            relay_of(owner->link, e->hash) == owner;
 }
 
-static void owner_due(void *data);
+static void owner_on_timer(void *data);
 
 static void
-owner_wait(owner_t *owner, gint64 us)
+owner_schedule(owner_t *owner, gint64 us)
 {
     timers_t *timers = owner->link->entry->timers;
     timers_cancel(timers, owner->timer);
-    owner->timer = timers_subscribe(timers, MAX(us, 0), 0, owner_due, owner);
+    owner->timer =
+        timers_subscribe(timers, MAX(us, 0), 0, owner_on_timer, owner);
 }
 
 /* Returns the endpoint with a limit that has this hash, or NULL. */
@@ -208,7 +209,7 @@
     if (is_lost(owner)) {
         send_without_owner(link, owner);
     }
-    owner_wait(owner, RETRY_DELAY_US);
+    owner_schedule(owner, RETRY_DELAY_US);
 }
 
 static void
@@ -249,13 +250,13 @@
         owner->sent_us + answer.report_interval_ms * (gint64)MS;
     limit_answer_clear(&answer);
     g_clear_pointer(&owner->requests, g_array_unref);
-    gint64 since_us = limit_link_now() - owner->sent_us;
+    gint64 elapsed_us = limit_link_now() - owner->sent_us;
     /* Jitter: at a fixed interval the same instance could always be the first
      * to request after the owner had something to grant. */
     gint64 pause_us =
         REQUEST_INTERVAL_US +
         g_rand_int_range(owner->link->entry->random, 0, REQUEST_JITTER_US);
-    owner_wait(owner, pause_us - since_us);
+    owner_schedule(owner, pause_us - elapsed_us);
 }
 
 static void
@@ -274,13 +275,13 @@
 {
     *request = (limit_request_t){.endpoint = e->hash};
     if (owner_of(owner->link, e->hash) == owner) {
-        if (!has_request(owner, e, now)) {
+        if (!is_request_due(owner, e, now)) {
             return FALSE;
         }
         endpoint_limit_fill_request(e->limit, request, now);
         return TRUE;
     }
-    if (!has_report(owner, e)) {
+    if (!is_report_due(owner, e)) {
         return FALSE;
     }
     endpoint_limit_fill_report(e->limit, request, now);
@@ -323,12 +324,12 @@
 }
 
 static void
-owner_due(void *data)
+owner_on_timer(void *data)
 {
     owner_t *owner = data;
     owner->timer = 0;
     if (inner_line_is_busy(owner->line)) {
-        owner_wait(owner, RETRY_DELAY_US);
+        owner_schedule(owner, RETRY_DELAY_US);
         return;
     }
     owner->requests = collect_requests(owner);
@@ -342,10 +343,10 @@
 /* Sends at once unless a request is scheduled or in flight; otherwise the
  * timer does. */
 static void
-owner_wake(owner_t *owner)
+owner_request_soon(owner_t *owner)
 {
     if (owner->timer == 0 && !inner_line_is_busy(owner->line)) {
-        owner_wait(owner, 0);
+        owner_schedule(owner, 0);
     }
 }
 
@@ -391,15 +392,15 @@
 wake_owner(const limit_link_t *link, const endpoint_t *e)
 {
     owner_t *owner = owner_of(link, e->hash);
-    if (owner != NULL && has_request(owner, e, limit_link_now())) {
-        owner_wake(owner);
+    if (owner != NULL && is_request_due(owner, e, limit_link_now())) {
+        owner_request_soon(owner);
     }
     if (owner == NULL || !is_lost(owner)) {
         return;
     }
     owner_t *relay = relay_of(link, e->hash);
-    if (relay != NULL && has_report(relay, e)) {
-        owner_wake(relay);
+    if (relay != NULL && is_report_due(relay, e)) {
+        owner_request_soon(relay);
     }
 }
 
--- a/carobloomd/gateway/traffic.c
+++ b/carobloomd/gateway/traffic.c
@@ -4,9 +4,9 @@
 
 typedef enum {
     REACH_UNKNOWN,
-    REACH_WITHIN, /* within the same data centre */
-    REACH_ACROSS,
-    REACHES,
+    REACH_LOCAL, /* within the same data centre */
+    REACH_REMOTE,
+    REACH_COUNT,
 } reach_t;
 
 static const char *const KIND_NAMES[TRAFFIC_KINDS] = {
@@ -21,10 +21,10 @@
     [TRAFFIC_ENDPOINT_REQUESTS] = "work",
 };
 
-static const char *const REACH_NAMES[REACHES] = {
+static const char *const REACH_NAMES[REACH_COUNT] = {
     [REACH_UNKNOWN] = "unknown",
-    [REACH_WITHIN] = "within",
-    [REACH_ACROSS] = "across",
+    [REACH_LOCAL] = "within",
+    [REACH_REMOTE] = "across",
 };
 
 struct traffic {
@@ -66,7 +66,7 @@
 static const http_traffic_t *
 counters_of(traffic_kind_t kind, reach_t reach)
 {
-    static http_traffic_t all[TRAFFIC_KINDS][REACHES];
+    static http_traffic_t all[TRAFFIC_KINDS][REACH_COUNT];
     http_traffic_t *t = &all[kind][reach];
     if (t->sent == NULL) {
         char label[64];
@@ -84,8 +84,8 @@
 {
     reach_t reach = REACH_UNKNOWN;
     if (data_centre != NULL && *data_centre != '\0') {
-        reach = g_str_equal(data_centre, t->data_centre) ? REACH_WITHIN
-                                                         : REACH_ACROSS;
+        reach = g_str_equal(data_centre, t->data_centre) ? REACH_LOCAL
+                                                         : REACH_REMOTE;
     }
     client_call_count(call, counters_of(kind, reach));
 }
@@ -117,7 +117,7 @@
         return;
     }
     for (guint kind = 0; kind < TRAFFIC_KINDS; kind++) {
-        for (guint reach = 0; reach < REACHES; reach++) {
+        for (guint reach = 0; reach < REACH_COUNT; reach++) {
             const http_traffic_t *t = counters_of(kind, reach);
             log_direction(kind, reach, "sent", t->sent);
             log_direction(kind, reach, "received", t->received);
--- a/carobloomd/gateway/usage_wire.c
+++ b/carobloomd/gateway/usage_wire.c
@@ -243,11 +243,11 @@
 /* ---- commands ---- */
 
 GBytes *
-usage_finalize_command(const usage_window_t *figures)
+usage_finalize_command(const usage_window_t *window)
 {
     return codec_write(g_variant_new("(yt@" COUNTS_TYPE ")",
-                                     (guchar)COMMAND_FINALIZE, figures->window,
-                                     counts_variant(figures->counts)));
+                                     (guchar)COMMAND_FINALIZE, window->window,
+                                     counts_variant(window->counts)));
 }
 
 GBytes *
--- a/include/carobloom/gateway/usage_wire.h
+++ b/include/carobloom/gateway/usage_wire.h
@@ -50,7 +50,7 @@
 
 /* Create commands for the log: finalize a window with its counts, and mark a
  * window as accepted by the platform. */
-GBytes *usage_finalize_command(const usage_window_t *figures);
+GBytes *usage_finalize_command(const usage_window_t *window);
 GBytes *usage_accept_command(guint64 window);
 /* Returns FALSE if the command is malformed or changes nothing. */
 gboolean usage_command_apply(usage_ledger_t *ledger, GBytes *command);
