--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -11,14 +11,14 @@
 
 enum {
     MS = 1000,
-    /* Allowed on top of the time that a poll is held: a round trip between
-     * regions and a busy control instance, which is slower the more entry
-     * instances poll. A poll given up too early is sent again and adds load.
-     */
+    /* Added to the time for which a poll is held: a round trip between
+     * regions, and the delay of a busy control instance, which grows with the
+     * number of entry instances that poll it. A poll that times out too early
+     * is sent again and adds load. */
     ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_TIMEOUT_PER_ENTRY_US = 5 * MS,
     /* Time for the leader to deliver a configuration before another control
-     * instance is polled for it. 100 KB over 10 Mbit/s take a tenth of it. */
+     * instance is polled for it. 100 KB take 80 ms at 10 Mbit/s. */
     DELIVERY_TIMEOUT_US = 800 * MS,
     RETRY_MIN_US = 50 * MS,
     RETRY_MAX_US = 800 * MS,
@@ -38,14 +38,14 @@
 struct control_link {
     entry_t *entry;
     char *address;
-    char *data_centre; /* from its answers; NULL until the first */
+    char *data_centre; /* from the answers; NULL: no answer yet */
     guint source;      /* index in the directory */
     inner_line_t *line;
     guint64 timer;    /* of the next poll */
     gint64 polled_us; /* clock_boot_us of the poll in flight */
     gint64 retry_us;
-    gint64 answered_us; /* clock of the timers; 0: never */
-    gint64 listed_us;   /* last listed as a control instance */
+    gint64 answered_us; /* of the last answer, on the timers' clock; 0: none */
+    gint64 listed_us;   /* last listed by a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
@@ -109,7 +109,8 @@
         return text_delta_apply(STR(""), answer->delta);
     }
     if (e->config == NULL || e->config->version != answer->base) {
-        return NULL; /* the base changed; the next answer fits */
+        return NULL; /* the next poll names the present version, and its answer
+                        has a delta to that */
     }
     return text_delta_apply(str_from_bytes(e->text), answer->delta);
 }
@@ -317,7 +318,8 @@
 static void
 on_failed(void *user)
 {
-    link_failed(user); /* polls are idempotent */
+    link_failed(
+        user); /* polls are idempotent, so the poll may be sent again */
 }
 
 static const inner_line_ops_t LINK_OPS = {.answered = on_answered,
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -1,5 +1,5 @@
 /* Reports ends of endpoints to every control instance, and applies the
- * quarantine orders that these send. */
+ * quarantine orders from the control instances. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -18,7 +18,7 @@
      * have 8 KB at most, so each control instance gets at most 40 KB/s while
      * endpoints end continuously. A single report is sent at once. */
     REPORT_INTERVAL_US = 200 * MS,
-    /* After this time the report is sent again. */
+    /* A report without an answer is sent again after this time. */
     ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_MAX = 1024, /* bytes; the answer has no body */
     RETRY_MIN_US = 100 * MS,
@@ -38,7 +38,7 @@
     guint64 number; /* in the order of recording, from 1 */
     gint64 recorded_us;
     endpoint_end_t end; /* `endpoint` is NULL for an answered request */
-    guint64 answered;
+    guint64 answered;   /* fingerprint of the answered request */
 } crash_record_t;
 
 /* Sends the records to one control instance. */
@@ -188,8 +188,8 @@
     sender_report(s);
 }
 
-/* Reports at once unless the sender pauses, retries or waits for an answer;
- * then its timer sends the next report. */
+/* Schedules a report to be sent at once, unless one is already scheduled or
+ * in flight. */
 static void
 sender_report_soon(crash_sender_t *s)
 {
--- a/carobloomd/gateway/crash_watch.c
+++ b/carobloomd/gateway/crash_watch.c
@@ -23,15 +23,16 @@
      * before its end is reported. Three ends must be known everywhere within
      * 3 s. */
     REPORT_DELAY_US = 150 * MS,
-    /* An engine restarts within seconds. A break that is not explained after
-     * this time was no end, or can no longer be identified as one. */
+    /* An engine restarts within seconds. If there is no evidence after this
+     * time, the endpoint did not end, or the evidence can't be found any
+     * more. */
     BREAK_LIFETIME_US = 6000 * MS,
     /* A request whose caller left within this time before a break counts as
      * running there. */
     ABANDONED_LIFETIME_US = 1000 * MS,
-    ABANDONED_MAX = 64,  /* kept; the oldest is overwritten */
+    ABANDONED_MAX = 64,  /* abandoned runs; the oldest is overwritten */
     LOGGED_RUNS_MAX = 8, /* fingerprints per log line */
-    BREAKS_MAX = 1024, /* tracked at a time: every endpoint of a large site */
+    BREAKS_MAX = 1024, /* at one time: as many as a large site has endpoints */
 };
 
 /* A connection to an endpoint that broke off, and the evidence that the
@@ -41,7 +42,7 @@
     char *service;
     char *address;
     gint64 broke_us;
-    const char *evidence; /* that the endpoint ended; NULL: none yet */
+    const char *evidence; /* of the endpoint's end; NULL: none yet */
     gboolean reported;
     gboolean has_new_runs; /* runs were added since the last report */
     gboolean connect_tried;
@@ -58,7 +59,7 @@
 struct crash_watch {
     crash_watch_setup_t setup;
     GHashTable *breaks; /* hash of the endpoint -> break_t */
-    guint unexplained;  /* number of breaks that are not explained */
+    guint unexplained;  /* number of breaks that were not reported as ends */
     guint64 timer;      /* 0: no breaks to check */
     abandoned_run_t abandoned[ABANDONED_MAX];
     guint abandoned_next;
@@ -226,8 +227,8 @@
 static void
 connection_connected(void *user)
 {
-    connection_close(user); /* the endpoint still runs, or has restarted: then
-                               its next incarnation is the evidence */
+    connection_close(user); /* the endpoint still runs, or has restarted; a
+                               restart is found by the next incarnation */
 }
 
 static void
--- a/carobloomd/gateway/crash_watch.h
+++ b/carobloomd/gateway/crash_watch.h
@@ -5,8 +5,9 @@
  * connections when overloaded, cut responses short, or are disconnected from
  * the network. An endpoint has ended if a break is followed by a refused
  * connection (nothing listens at its address any more) or by another
- * incarnation at its address, and no more bytes came from it. An endpoint that
- * drains or has left has announced its end. */
+ * incarnation at its address, and no more bytes came from it. The watch
+ * ignores endpoints that announced their end: those that drain or have left.
+ */
 #ifndef CAROBLOOMD_GATEWAY_CRASH_WATCH_H
 #define CAROBLOOMD_GATEWAY_CRASH_WATCH_H
 
--- a/carobloomd/gateway/entry.c
+++ b/carobloomd/gateway/entry.c
@@ -11,19 +11,21 @@
 enum {
     MS = 1000,
     SWEEP_US = 500 * MS,
-    /* Descriptors that are not callers' connections: listeners, control,
-     * files. Connections to endpoints take half of the rest. */
+    /* File descriptors for listeners, connections to control instances, and
+     * files. Half of the other descriptors are for connections to
+     * endpoints. */
     DESCRIPTORS_RESERVED = 300,
     PROBE_CONNECTIONS_MAX = 64,
     /* The balancer probes each second and stops sending callers after two
      * failed probes; until then new connections arrive. */
     DRAIN_NOTICE_US = 2600 * MS,
-    /* Margin before the platform kills the process, to close in order. */
+    /* Time to close listeners and files before the platform kills the
+     * process. */
     DRAIN_MARGIN_US = 300 * MS,
     /* Delay after a start, in which more than one control instance can report
      * its endpoints. */
     READY_DELAY_US = 300 * MS,
-    /* Older loads of other instances don't describe the present. */
+    /* Loads of the other instances that are older are not used. */
     LOADS_AGE_MAX_US = 2000 * MS,
 };
 
@@ -31,7 +33,7 @@
  * configuration no longer admits requests that need a key. */
 static const double CONFIRMED_FRACTION = 0.8;
 /* Fraction of the same bound after which the instance is not ready, so that
- * the balancer sends callers elsewhere. */
+ * the balancer stops sending callers to it. */
 static const double READY_FRACTION = 0.5;
 /* Fraction of the memory for bodies of requests that are being received. */
 static const double BODIES_FRACTION = 0.25;
--- a/carobloomd/gateway/entry_state.h
+++ b/carobloomd/gateway/entry_state.h
@@ -47,11 +47,11 @@
     prompt_mix_t prompts;
     engine_split_t split;
     engine_model_t engine;
-    /* of endpoints that named limits */
+    /* use of granted sends to limited endpoints, by priority */
     limit_share_t limit_share;
     limit_retry_t limit_retry;
     /* totals since the start of the process */
-    guint64 arrived;     /* requests */
+    guint64 arrived;     /* requests that arrived */
     guint64 turned_away; /* requests that no endpoint could take */
     guint64 read_tokens; /* prompt tokens that engines had to read */
 } service_state_t;
@@ -68,7 +68,7 @@
     metrics_source_t dump;
     GRand *random;
     directory_t *directory;
-    gsize buffered_bytes; /* of endpoints' incomplete answers */
+    gsize buffered_bytes; /* of answers that aren't complete yet */
     GHashTable *services; /* name -> service_state_t */
     GPtrArray *links;     /* control_link_t * */
     load_link_t *load_link;
@@ -78,17 +78,19 @@
     limit_link_t *limit_link;
     quarantine_t *quarantine;
     run_history_t history;
-    /* the configuration in force here */
+    /* the configuration in force at this instance */
     route_config_t *config; /* NULL until the first one is received */
     GBytes *text;
-    /* clock_boot_us at which it was known to be the newest */
+    /* clock_boot_us at which the configuration was last known to be the
+     * newest */
     gint64 confirmed_us;
     /* since when a newer configuration is known to exist; 0: none */
     gint64 newer_config_since_us;
     /* when the loads of the other instances were last received */
     gint64 loads_received_us;
     guint entries; /* number of entry instances, as reported by control */
-    /* estimate of that number, by which shared limits are divided */
+    /* estimate of the number of entry instances, among which limits and the
+     * repeat budget are divided */
     instance_count_t sharing_instances;
     gint64 started_us;
     gint64 drain_us; /* when SIGTERM was received; 0: not yet */
@@ -183,12 +185,13 @@
                                  gint64 sent_us);
 /* Records a send to an endpoint with a limit. */
 void limit_link_record_send(limit_link_t *link, endpoint_t *endpoint);
-/* Records that the limit kept a request away from an endpoint. */
+/* Records that a request was not sent to an endpoint because of its limit. */
 void limit_link_record_denied(limit_link_t *link, endpoint_t *endpoint);
 /* Like limit_link_record_denied, for a few limited endpoints of a service,
  * beginning at a random one. */
 void limit_link_record_denied_sample(limit_link_t *link, const char *service);
-/* Returns the granted sends to endpoints of a service that may be used now. */
+/* Returns the granted sends to endpoints of a service that may be used at
+ * this time. */
 limit_tokens_t limit_link_tokens(const limit_link_t *link,
                                  const char *service);
 /* Returns this instance's share of a service's limits, per second. */
@@ -211,7 +214,8 @@
  * reported it. */
 void limit_log_change(const entry_t *entry, const endpoint_t *endpoint,
                       limit_change_t change, const char *source);
-/* Logs that a limit kept a request away. Rate-limited. */
+/* Logs that a request was not sent to an endpoint because of its limit.
+ * Writes at most one line per interval and endpoint. */
 void limit_log_denied(const entry_t *entry, const endpoint_t *endpoint);
 
 /* forward.c */
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -8,9 +8,9 @@
     /* Used when the caller names no deadline. */
     DEADLINE_DEFAULT_MS = 60000,
     STATUS_MAX = 999, /* highest HTTP status that is counted */
-    /* A repeatable request leaves a silent endpoint after SILENCE_TARGETS
-     * latency targets of its route, but not before SILENCE_MIN_US; within a
-     * stream after STREAM_SILENCE_US. */
+    /* A repeatable request is sent to another endpoint if its endpoint is
+     * silent for SILENCE_TARGETS times the latency target of the route, at
+     * least for SILENCE_MIN_US; within a stream for STREAM_SILENCE_US. */
     SILENCE_TARGETS = 3,
     SILENCE_MIN_US = 250 * MS,
     STREAM_SILENCE_US = 1500 * MS,
@@ -21,7 +21,7 @@
 };
 
 /* Retry-After of a refused request: `min_ms` plus a random part of up to
- * `spread_ms`, so that callers do not return together. */
+ * `spread_ms`, so that callers do not all retry at the same time. */
 typedef struct {
     gint min_ms;
     gint spread_ms;
@@ -31,7 +31,8 @@
  * server, and a second at an engine whose slots are taken by long prompts. */
 static const retry_after_t AFTER_SHORT_PROMPT = {150, 350};
 static const retry_after_t AFTER_LONG_PROMPT = {600, 800};
-/* A request that may be quarantined by mistake is probed within seconds. */
+/* If it is uncertain that a quarantined request causes the crashes, a retry
+ * within seconds may be sent as a probe. */
 static const retry_after_t AFTER_UNCERTAIN = {1000, 2000};
 /* The configuration of an instance that has just started, or was disconnected,
  * is confirmed once a leader is elected, within about two seconds. */
@@ -208,7 +209,7 @@
     if (f->quarantined != NULL && f->quarantined->uncertain) {
         return AFTER_UNCERTAIN;
     }
-    /* An earlier retry would only be refused again. */
+    /* A retry before the end of the quarantine would be refused again. */
     if (f->quarantined != NULL) {
         gint64 left_us = f->quarantined->until_us - forward_now(f);
         return (retry_after_t){.min_ms = (gint)(left_us / MS),
@@ -307,8 +308,8 @@
 
 /* ---- timers ---- */
 
-/* When the request leaves its endpoint if that stays silent; G_MAXINT64:
- * never. */
+/* The time at which the request is sent to another endpoint if its endpoint
+ * is silent until then; G_MAXINT64: never. */
 static gint64
 silence_deadline_us(const forward_t *f)
 {
@@ -384,8 +385,8 @@
     f->route =
         route_config_match(f->config, f->info.host,
                            http_head_target(http_exchange_head(f->exchange)));
-    /* A configuration that may be outdated must not be the reason to deny a
-     * request. */
+    /* If the configuration may be outdated, a missing route is no proof that
+     * there is none: the caller gets 503 and retries. */
     gboolean confirmed = entry_is_confirmed(e);
     if (f->route == NULL) {
         *reason = confirmed ? "no route" : "the configuration may be old";
--- a/carobloomd/gateway/forward_answer.c
+++ b/carobloomd/gateway/forward_answer.c
@@ -5,8 +5,8 @@
 enum {
     MS = 1000,
     /* Answers other than streams are buffered as a whole before they are
-     * forwarded, so that another endpoint can still take over when one breaks
-     * off. Plain answers so far are about 5 KB. */
+     * forwarded. If the connection breaks off before, another endpoint can
+     * still answer. Plain answers are about 5 KB. */
     ANSWER_BYTES_MAX = 16 * 1024 * 1024,
 };
 
@@ -29,10 +29,10 @@
     }
 }
 
-/* Records the limit that the endpoint's answer names. Status 421 comes from
- * another endpoint at this address and says nothing about this one. A missing
- * limit counts only in a success, since only a success certainly states the
- * endpoint's present limit. */
+/* Records the limit that the endpoint's answer names. Ignores status 421:
+ * another endpoint at the same address answered. An answer without a limit
+ * means that the endpoint has none, but only if the status is a success:
+ * errors may leave out the limit. */
 static void
 record_limit(const forward_t *f, const answer_info_t *answer, guint status)
 {
@@ -155,7 +155,7 @@
     forward_t *f = user;
     if (id != G_MAXUINT64) {
         if (f->has_event && id <= f->last_event) {
-            return; /* the caller already received this event */
+            return; /* the caller received this event before the repeat */
         }
         f->has_event = TRUE;
         f->last_event = id;
@@ -249,7 +249,8 @@
     forward_finish(f);
 }
 
-/* Handles an endpoint's statement that it did not execute the request. */
+/* Handles an answer in which the endpoint states that it did not execute the
+ * request. */
 static void
 handle_not_run(forward_t *f)
 {
--- a/carobloomd/gateway/forward_runs.c
+++ b/carobloomd/gateway/forward_runs.c
@@ -9,7 +9,8 @@
     MS = 1000,
     /* A request that crashes its endpoint does so as it begins to run, in
      * observed cases within 100 ms. A request that has been answered for five
-     * times as long most likely only ran beside the cause. */
+     * times as long was most likely interrupted by the crash, and another
+     * request caused it. */
     LONG_RUN_US = 500 * MS,
 };
 
@@ -111,7 +112,8 @@
 
 /* ---- runs ---- */
 
-/* Arriving bytes show that the endpoint is alive. */
+/* Bytes that arrive after a broken connection show that the endpoint still
+ * runs. */
 void
 forward_record_bytes(forward_t *f)
 {
@@ -122,7 +124,8 @@
     }
 }
 
-/* The crash watch determines later whether the endpoint crashed. */
+/* A refused connection is evidence of a crash, a broken one only a reason to
+ * look for evidence: the crash watch decides. */
 void
 forward_record_failure(forward_t *f, call_failure_t failure)
 {
@@ -138,7 +141,7 @@
     }
 }
 
-/* The request is abandoned while it may be running at its endpoint. */
+/* An abandoned request may still crash the endpoint that runs it. */
 void
 forward_record_abandoned(forward_t *f)
 {
--- a/carobloomd/gateway/forward_send.c
+++ b/carobloomd/gateway/forward_send.c
@@ -11,19 +11,20 @@
      * another endpoint at once. When this many endpoints are unreachable,
      * further attempts are unlikely to succeed. */
     SENDS_MAX = 6,
-    /* Many times a round trip plus the delay of a busy endpoint. */
+    /* Many times the round-trip time plus the delay of a busy endpoint. */
     CONNECT_US = 250 * MS,
     ENDPOINT_IDLE_US = 8 * G_USEC_PER_SEC,
     ENDPOINT_IDLE_MAX = 64,
     ANSWER_HEAD_MAX = 65536,
-    CONNECTIONS_MIN = 4, /* to one endpoint */
+    CONNECTIONS_MIN = 4, /* per endpoint, of this instance */
     /* With less time left the request is not sent again. */
     DEADLINE_MIN_MS = 5,
     /* A shared prompt part below this size is read again in less time than it
      * takes to notify the other instances. */
     PART_REPORTED_MIN_TOKENS = 1024,
-    /* The same bound for the prefix part. It is lower because the prefix
-     * is reported once for all endpoints that fetch it from the first one. */
+    /* The same bound for the prefix part. The bound is lower because the
+     * prefix is reported once: other endpoints fetch the prefix from the
+     * first endpoint that has it. */
     PREFIX_REPORTED_MIN_TOKENS = 64,
 };
 
@@ -99,9 +100,9 @@
     }
 }
 
-/* The route's priority decides first, and the team's among equals. In the
- * opposite order engines preempted requests of an urgent route for less urgent
- * ones. */
+/* Orders by the priority of the route, and among routes of the same priority
+ * by that of the team. In the opposite order engines preempted requests of an
+ * urgent route for those of less urgent routes. */
 static gint
 priority_of(const forward_t *f)
 {
@@ -112,8 +113,8 @@
                      LOWEST);
 }
 
-/* Whether the request leaves granted sends at limited endpoints to requests of
- * higher priority. */
+/* Whether the request may not use granted sends to limited endpoints, because
+ * requests of higher priority need them. */
 static gboolean
 yields_limited_sends(const forward_t *f)
 {
@@ -217,8 +218,8 @@
     }
 }
 
-/* Records the request's demand at limited endpoints, which the limits' owners
- * receive. */
+/* Records that the request wanted a send to a limited endpoint, so that the
+ * owners of the limits are notified of the demand. */
 static void
 record_limit_demand(const forward_t *f, const placement_t *placement)
 {
--- a/carobloomd/gateway/forward_state.h
+++ b/carobloomd/gateway/forward_state.h
@@ -18,7 +18,7 @@
 typedef struct {
     entry_t *entry;
     http_exchange_t *exchange;
-    route_config_t *config; /* version in force at its arrival */
+    route_config_t *config; /* the one in force when the request arrived */
     const route_t *route;
     const team_t *team; /* NULL: the route needs no key */
     const char *service;
@@ -27,7 +27,7 @@
     guint64 fingerprint; /* 0: not computed yet */
     /* set when the request is refused as quarantined */
     const quarantined_request_t *quarantined;
-    gboolean is_probe; /* the last send probes a quarantined request */
+    gboolean is_probe; /* the last send was a probe, see quarantine.h */
     gint64 started_us;
     gint64 deadline_us; /* deadline for the answer */
     guint64 timer;
@@ -37,12 +37,14 @@
     client_call_t *call;
     gint64 sent_us;
     gint64 limit_sent_us; /* the same time on the clock of limits */
-    /* when the endpoint was last silent and no other could take over */
+    /* when the silence timeout last expired without another endpoint that
+     * could take the request */
     gint64 last_silent_us;
-    /* of this request, in the endpoint's count of waiting tokens */
+    /* prompt tokens by which this request raises the endpoint's count of
+     * waiting tokens */
     guint waiting_tokens;
-    /* load of the endpoint by the requests of all instances, at the time of
-     * the send */
+    /* running requests and waiting tokens of all instances at the endpoint,
+     * when this request was sent to it */
     guint running_at_send;
     guint waiting_tokens_at_send;
     gboolean run_counted;           /* the request was counted as run */
@@ -56,19 +58,19 @@
     placement_counts_t placement_counts;
     /* the answer */
     guint status;
-    gboolean not_run;
+    gboolean not_run;   /* the endpoint states that it executed nothing */
     gboolean streaming; /* an event stream, forwarded as it arrives */
     gboolean head_sent; /* the answer's head was sent to the caller */
     GString *fields;
     GByteArray *body;
     event_stream_t events;
-    gboolean has_event;
-    guint64 last_event;
+    gboolean has_event;  /* an event with a number was forwarded */
+    guint64 last_event;  /* number of the last one */
     gint64 last_byte_us; /* when the last byte of the answer arrived */
     gint64 first_output_us;
     gint64 last_event_us;    /* when the last event was forwarded */
     gint64 longest_pause_us; /* longest pause between two forwarded events */
-    gboolean paused;
+    gboolean paused;         /* reading from the endpoint, for a slow caller */
 } forward_t;
 
 /* forward.c */
@@ -84,8 +86,8 @@
 /* Sets the timer for the deadline or the silence timeout, whichever is
  * first. */
 void forward_set_timer(forward_t *f);
-/* The endpoint has read the prompt: the request's tokens no longer count as
- * waiting there. */
+/* Removes the request's tokens from the endpoint's count of waiting tokens,
+ * once the endpoint has read the prompt. */
 void forward_end_prefill(forward_t *f);
 /* Removes the request from its endpoint's counts. The call must be complete or
  * cancelled. */
@@ -103,10 +105,11 @@
 /* Returns a fingerprint of the request that does not depend on its id.
  * Computed on first use. */
 guint64 forward_fingerprint(forward_t *f);
-/* Adds the fingerprint to the log line that is being written. */
+/* Adds the request's fingerprint to the event log line that was begun. */
 void forward_log_fingerprint(forward_t *f);
-/* Whether the request is quarantined because endpoints crash while they run
- * it. May make this send a probe, which is not refused. */
+/* Whether to refuse the request because it is quarantined: endpoints crashed
+ * while they ran it. Returns FALSE for a quarantined request if a probe of it
+ * is due; this send is then the probe. */
 gboolean forward_is_quarantined(forward_t *f);
 /* Records that bytes arrived from the endpoint. */
 void forward_record_bytes(forward_t *f);
@@ -114,8 +117,8 @@
 void forward_record_answered(forward_t *f);
 /* Records a failed call. Whether the endpoint crashed is determined later. */
 void forward_record_failure(forward_t *f, call_failure_t failure);
-/* Records that the request is abandoned while it may be running at its
- * endpoint. */
+/* Records that this instance abandons the request. Does nothing unless the
+ * request may be running at an endpoint. */
 void forward_record_abandoned(forward_t *f);
 
 /* forward_send.c */
--- a/carobloomd/gateway/gateway.c
+++ b/carobloomd/gateway/gateway.c
@@ -28,12 +28,12 @@
 typedef struct {
     const char *path;
     gint64 file_mtime_ns; /* of the settings file in force */
-    GPtrArray *settings;  /* all that were in force; the last is now */
+    GPtrArray *settings;  /* all that were read; the last one is in force */
     GMainLoop *loop;
     task_t *task;
     poller_t *poller;
-    entry_t *entry;     /* NULL: not of this role */
-    control_t *control; /* NULL: not of this role */
+    entry_t *entry;     /* NULL: the instance does not have this role */
+    control_t *control; /* NULL: the instance does not have this role */
     http_server_t *metrics;
     metrics_source_t pages;
     gboolean draining;
@@ -141,8 +141,8 @@
     return settings;
 }
 
-/* Reads the settings again and applies them. With faults the old settings stay
- * in force. */
+/* Reads the settings again and applies them. If they are invalid, the old
+ * settings stay in force. */
 static void
 reload(gateway_t *g, const char *cause)
 {
--- a/carobloomd/gateway/inner_line.c
+++ b/carobloomd/gateway/inner_line.c
@@ -95,7 +95,7 @@
 on_failed(client_call_t *call, call_failure_t failure, void *user)
 {
     (void)call;
-    (void)failure; /* the owner retries after any failure */
+    (void)failure; /* the user of the line retries after any failure */
     line_fail(user);
 }
 
--- a/carobloomd/gateway/limit_link.c
+++ b/carobloomd/gateway/limit_link.c
@@ -21,15 +21,16 @@
      * may set a longer one. */
     REQUEST_INTERVAL_US = 100 * MS,
     REQUEST_JITTER_US = 30 * MS,
-    /* After this time the request is sent again. */
+    /* A request without an answer is sent again after this time. */
     ANSWER_TIMEOUT_US = 400 * MS,
     RETRY_DELAY_US = 200 * MS,
     /* Consecutive failed requests after which the owner counts as lost. */
     FAILURES_MAX = 2,
     ANSWER_MAX = 64 * 1024,
-    /* Endpoints whose owners get a grant request because one caller's request
-     * found no endpoint. With all endpoints, traffic would grow with the
-     * number of instances times the number of limited endpoints. */
+    /* If a caller's request finds no endpoint, grants are requested for this
+     * many limited endpoints. If they were requested for all, the traffic
+     * would grow with the number of instances times the number of limited
+     * endpoints. */
     DENIED_MAX = 4,
 };
 
@@ -58,7 +59,7 @@
     guint64 incarnation;
     guint64 sequence;  /* of the last request */
     GPtrArray *owners; /* owner_t * */
-    guint64 tick;      /* timer; 0: nothing to check */
+    guint64 tick;      /* timer of the periodic check; 0: nothing to check */
 };
 
 gint64
@@ -123,8 +124,9 @@
     return directory_limits(link->entry->directory)->len;
 }
 
-/* Schedules sends without grants to the endpoints whose limits `owner` owns,
- * because it does not answer. NULL: no control instance is known. */
+/* Schedules sends without grants to the endpoints whose limits are owned by
+ * `owner`, which does not answer. `owner` is NULL if no control instance is
+ * known. */
 static void
 send_without_owner(const limit_link_t *link, const owner_t *owner)
 {
@@ -340,8 +342,8 @@
     owner_send(owner);
 }
 
-/* Sends at once unless a request is scheduled or in flight; otherwise the
- * timer does. */
+/* Schedules a request to be sent at once, unless one is already scheduled or
+ * in flight. */
 static void
 owner_request_soon(owner_t *owner)
 {
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -12,13 +12,13 @@
 
 enum {
     MS = 1000,
-    /* A control instance that does not answer within this time, four reports,
-     * is replaced by the next: without the loads of the others, requests go to
-     * engines that are full. */
+    /* After this time without an answer, four report intervals, reports go to
+     * another control instance: without the loads of the other instances,
+     * requests are sent to engines that are full. */
     ANSWER_TIMEOUT_US = 400 * MS,
     /* A control instance that failed gets no reports for this time: a process
      * that was killed is back within a second, one that froze within a few.
-     * Where no other control instance is left, the shorter time applies. */
+     * If all control instances failed, the shorter time applies. */
     UNRESPONSIVE_US = 3000 * MS,
     UNRESPONSIVE_FALLBACK_US = 200 * MS,
     /* Retry delay while no control instance is reachable, or there is no
@@ -29,7 +29,9 @@
     PAUSE_MIN_US = 20 * MS,
     ANSWER_MAX = 1024 * 1024,
     /* Parts per report: more than an instance sends within its interval. Parts
-     * beyond it are reported by the instance that sends them next. */
+     * beyond this bound are dropped; another instance reports a part when it
+     * sends that part to an endpoint.
+     */
     PARTS_MAX = 256,
 };
 
@@ -46,9 +48,9 @@
     inner_line_t *line;
     guint64 timer; /* of the next report */
     gint64 sent_us;
-    GArray *reported;         /* loads in the last report, or NULL */
-    GArray *parts;            /* part_copy_t, for the next report */
-    guint64 parts_received;   /* part_copy_t from this control instance */
+    GArray *reported;       /* loads in the last report, or NULL */
+    GArray *parts;          /* part_copy_t, for the next report */
+    guint64 parts_received; /* number of part_copy_t received from `address` */
     GHashTable *unresponsive; /* address -> gint64, time of the last failure */
 };
 
@@ -73,7 +75,8 @@
     }
 }
 
-/* The control instance does not answer: the next one gets a report at once. */
+/* Handles a control instance that does not answer: a report is sent to
+ * another one at once. */
 static void
 link_failed(load_link_t *link)
 {
--- a/carobloomd/gateway/traffic.c
+++ b/carobloomd/gateway/traffic.c
@@ -4,7 +4,7 @@
 
 typedef enum {
     REACH_UNKNOWN,
-    REACH_LOCAL, /* within the same data centre */
+    REACH_LOCAL, /* in the local data centre */
     REACH_REMOTE,
     REACH_COUNT,
 } reach_t;
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -10,7 +10,7 @@
 
 enum {
     MS = 1000,
-    /* Longer than a new leader is busy after an election. */
+    /* Longer than a new leader needs to answer after an election. */
     ANSWER_TIMEOUT_US = 600 * MS,
     /* Retry delay while no leader is known. */
     IDLE_RETRY_US = 150 * MS,
@@ -206,7 +206,7 @@
     duty_set_t set;
     if (platform_duties_decode(e->settings->duties, &set) != PLATFORM_OK ||
         !set.any) {
-        return NULL; /* the settings were validated: no duty needs reports */
+        return NULL; /* none of the configured duties needs reports */
     }
     usage_link_t *link = g_new0(usage_link_t, 1);
     link->entry = e;
--- a/include/carobloom/gateway/entry.h
+++ b/include/carobloom/gateway/entry.h
@@ -17,9 +17,9 @@
  * afterwards. */
 void entry_reload(entry_t *entry, const gateway_settings_t *settings);
 /* Handles SIGTERM: the instance reports that it is not ready, so that the
- * balancer sends callers elsewhere. entry_idle is polled from then on; once
- * the balancer had time to notice, it refuses new requests, and it returns
- * TRUE when the last request is answered or the grace period is almost
+ * balancer stops sending callers to it. entry_idle is polled from then on;
+ * once the balancer had time to notice, it refuses new requests, and it
+ * returns TRUE when the last request is answered or the grace period is almost
  * over. */
 void entry_drain(entry_t *entry);
 gboolean entry_idle(entry_t *entry);
--- a/include/carobloom/gateway/inner_line.h
+++ b/include/carobloom/gateway/inner_line.h
@@ -12,9 +12,9 @@
 typedef struct inner_line inner_line_t;
 
 /* Callbacks for the end of a call; exactly one of them is called for each
- * call. They may make the next call, which opens a connection of its own,
- * since the current one becomes free only afterwards. They must not destroy
- * the line. */
+ * call. They may make the next call, which opens another connection, since
+ * the connection of the ended call is free only after the callback returns.
+ * They must not destroy the line. */
 typedef struct {
     void (*answered)(void *user, guint status, GBytes *body);
     /* The call broke off or timed out, or its answer was too long. */
@@ -26,8 +26,8 @@
     timers_t *timers;
     http_peer_limits_t peer;
     gsize answer_max; /* bytes */
-    /* A call that times out gets this much more time if bytes arrived since
-     * the last timeout, for a long answer over a slow link. 0: no
+    /* Microseconds by which the timeout of a call is extended if bytes
+     * arrived since it was set, for a long answer over a slow link. 0: no
      * extension. */
     gint64 progress_us;
     const inner_line_ops_t *ops;
@@ -42,13 +42,13 @@
 /* Cancels a call in flight without a callback. */
 void inner_line_destroy(inner_line_t *line);
 void inner_line_set_progress(inner_line_t *line, gint64 progress_us);
-/* For how long the other instance held the request before it answered, by its
- * own account. Valid in `answered`. */
+/* Milliseconds for which the other instance held the request before it
+ * answered, from HELD_FIELD. Valid in `answered`. */
 guint inner_line_held_ms(const inner_line_t *line);
 gboolean inner_line_is_busy(const inner_line_t *line);
 /* Posts `body`, to be answered within `wait_us`. Returns FALSE if no
- * connection is available; `failed` is not called then. The line must not be
- * busy. */
+ * connection is available; `failed` is not called then. No call may
+ * be in flight. */
 gboolean inner_line_post(inner_line_t *line, const char *path, GBytes *body,
                          gint64 wait_us);
 
--- a/include/carobloom/gateway/load_wire.h
+++ b/include/carobloom/gateway/load_wire.h
@@ -1,5 +1,5 @@
-/* Messages with which entry instances learn of the requests in flight of each
- * other, and of the prompt parts that each sent to endpoints.
+/* Messages that share the requests in flight of all entry instances, and the
+ * prompt parts that each entry instance sent to endpoints.
  *
  * An entry instance reports to one control instance several times per second,
  * and the answer has the sums over all entry instances. Control instances send
--- a/include/carobloom/gateway/usage_wire.h
+++ b/include/carobloom/gateway/usage_wire.h
@@ -19,7 +19,7 @@
 typedef struct {
     char *from;
     guint64 incarnation; /* random, drawn when the instance starts */
-    GPtrArray *windows;  /* usage_window_t *: all its counts of each window */
+    GPtrArray *windows;  /* usage_window_t *: all counts of each window */
     GArray *works;       /* service_work_t */
     GArray *supplies;    /* engine_supply_t */
 } usage_report_t;
