--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -109,8 +109,7 @@
         return text_delta_apply(STR(""), answer->delta);
     }
     if (e->config == NULL || e->config->version != answer->base) {
-        return NULL; /* the next poll names the present version, and its answer
-                        has a delta to that */
+        return NULL; /* the next answer has a delta to the present version */
     }
     return text_delta_apply(str_from_bytes(e->text), answer->delta);
 }
@@ -318,8 +317,8 @@
 static void
 on_failed(void *user)
 {
-    link_failed(
-        user); /* polls are idempotent, so the poll may be sent again */
+    /* Polls are idempotent, so a failed poll may be sent again. */
+    link_failed(user);
 }
 
 static const inner_line_ops_t LINK_OPS = {.answered = on_answered,
--- a/carobloomd/gateway/forward.c
+++ b/carobloomd/gateway/forward.c
@@ -31,8 +31,8 @@
  * server, and a second at an engine whose slots are taken by long prompts. */
 static const retry_after_t AFTER_SHORT_PROMPT = {150, 350};
 static const retry_after_t AFTER_LONG_PROMPT = {600, 800};
-/* If it is uncertain that a quarantined request causes the crashes, a retry
- * within seconds may be sent as a probe. */
+/* A quarantined request is probed within seconds if it is uncertain that the
+ * request causes the crashes. */
 static const retry_after_t AFTER_UNCERTAIN = {1000, 2000};
 /* The configuration of an instance that has just started, or was disconnected,
  * is confirmed once a leader is elected, within about two seconds. */
@@ -385,8 +385,8 @@
     f->route =
         route_config_match(f->config, f->info.host,
                            http_head_target(http_exchange_head(f->exchange)));
-    /* If the configuration may be outdated, a missing route is no proof that
-     * there is none: the caller gets 503 and retries. */
+    /* A configuration that may be outdated is no reason to deny a request: the
+     * route or the key may exist in a newer one. The caller gets 503. */
     gboolean confirmed = entry_is_confirmed(e);
     if (f->route == NULL) {
         *reason = confirmed ? "no route" : "the configuration may be old";
--- a/carobloomd/gateway/forward_state.h
+++ b/carobloomd/gateway/forward_state.h
@@ -65,7 +65,7 @@
     GByteArray *body;
     event_stream_t events;
     gboolean has_event;  /* an event with a number was forwarded */
-    guint64 last_event;  /* number of the last one */
+    guint64 last_event;  /* number of the last such event */
     gint64 last_byte_us; /* when the last byte of the answer arrived */
     gint64 first_output_us;
     gint64 last_event_us;    /* when the last event was forwarded */
--- a/carobloomd/gateway/limit_log.c
+++ b/carobloomd/gateway/limit_log.c
@@ -5,8 +5,8 @@
 
 enum {
     MS = 1000,
-    /* Minimum interval between two log lines about requests that were not
-     * sent to an endpoint because of its limit. */
+    /* Minimum interval, per endpoint, between two log lines about requests
+     * that were not sent there because of its limit. */
     SPENT_LOG_INTERVAL_US = 1000 * MS,
 };
 
--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -29,9 +29,8 @@
     PAUSE_MIN_US = 20 * MS,
     ANSWER_MAX = 1024 * 1024,
     /* Parts per report: more than an instance sends within its interval. Parts
-     * beyond this bound are dropped; another instance reports a part when it
-     * sends that part to an endpoint.
-     */
+     * beyond this bound are dropped; the instance that sends them to an
+     * endpoint next reports them. */
     PARTS_MAX = 256,
 };
 
--- a/carobloomd/gateway/usage_link.c
+++ b/carobloomd/gateway/usage_link.c
@@ -206,7 +206,8 @@
     duty_set_t set;
     if (platform_duties_decode(e->settings->duties, &set) != PLATFORM_OK ||
         !set.any) {
-        return NULL; /* none of the configured duties needs reports */
+        return NULL; /* the settings were validated: none of the duties needs
+                        reports */
     }
     usage_link_t *link = g_new0(usage_link_t, 1);
     link->entry = e;
--- a/include/carobloom/gateway/inner_line.h
+++ b/include/carobloom/gateway/inner_line.h
@@ -47,8 +47,8 @@
 guint inner_line_held_ms(const inner_line_t *line);
 gboolean inner_line_is_busy(const inner_line_t *line);
 /* Posts `body`, to be answered within `wait_us`. Returns FALSE if no
- * connection is available; `failed` is not called then. No call may
- * be in flight. */
+ * connection is available; `failed` is not called then. No call may be
+ * in flight. */
 gboolean inner_line_post(inner_line_t *line, const char *path, GBytes *body,
                          gint64 wait_us);
 
