--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -12,8 +12,9 @@
     MS = 1000,
     /* Interval between two plans of a service. */
     PLAN_INTERVAL_US = 200 * MS,
-    /* The number of ready engines is the maximum of this many reports: entry
-     * instances that have just started, or are cut off, know fewer engines. */
+    /* The number of ready engines is the maximum in this many reports: entry
+     * instances that have just started, or are disconnected from the control
+     * instances, know fewer engines. */
     SUPPLY_WINDOW_REPORTS = 8,
     /* A plan for more engines is ordered at once, a plan for fewer only this
      * long after the last order for more. */
@@ -21,13 +22,13 @@
     /* Minimum interval between two orders of one kind in a data centre, so
      * that rising demand causes a few calls rather than one per step. */
     ORDER_INTERVAL_US = 400 * MS,
-    /* Engines that are not ready this long after their start time, or that
-     * leave, are ordered again: the platform forgets orders that it could not
-     * fulfil. */
+    /* Engines that are still not ready this long after the time that a start
+     * takes, or that leave, are ordered again: the platform drops orders that
+     * it could not fulfil. */
     REORDER_DELAY_US = 2500 * MS,
     /* Delay of reclaimable orders after the platform had no engines. */
     UNAVAILABLE_RETRY_US = 1500 * MS,
-    /* Reports needed before the number of ready engines is known. */
+    /* Nothing is planned before this many reports have arrived. */
     REPORTS_MIN = 3 * SUPPLY_WINDOW_REPORTS,
     /* Maximum number of engines times entry instances. Every entry instance is
      * notified of each engine that joins or leaves. Above this number,
@@ -161,8 +162,8 @@
 }
 
 /* Applies the newest configuration if it is newer than the last one applied. A
- * service that it no longer names, or names with other data centres, keeps its
- * orders: the next duty holder plans it anew. */
+ * service that the configuration no longer names, or names with other data
+ * centres, is planned as before until the next duty holder starts anew. */
 static void
 config_refresh(capacity_duty_t *c)
 {
@@ -283,8 +284,9 @@
     else {
         if (status == 409) {
             /* The platform cannot fulfil the previous order either. Lowering
-             * it makes the plan order the engines again soon and lets other
-             * data centres replace them. */
+             * the recorded order to the ready engines makes the plan order
+             * the missing ones again soon and lets other data centres replace
+             * them. */
             data_centre->ordered[o->kind] = MIN(data_centre->ordered[o->kind],
                                                 data_centre->ready[o->kind]);
             data_centre->unavailable_until_us = now + UNAVAILABLE_RETRY_US;
@@ -328,8 +330,8 @@
     }
 }
 
-/* Returns whether the engines of an accepted order are not ready after the
- * maximum time. */
+/* Returns whether engines of an accepted order are missing although their
+ * start time and REORDER_DELAY_US have passed. */
 static gboolean
 is_overdue(const service_plan_t *s, const capacity_data_centre_t *data_centre,
            supply_kind_t kind, gint64 now)
@@ -350,8 +352,8 @@
         return count > ordered || is_overdue(s, data_centre, kind, now);
     }
     if (kind == ENGINES_ON_DEMAND) {
-        /* Reclaimable engines that cost less replace them, or they are no
-         * longer needed. */
+        /* On-demand engines are reduced when cheaper reclaimable engines
+         * replace them, or when they are no longer needed. */
         return now - s->increased_us > SHRINK_DELAY_US || data_centre->idle ||
                data_centre->ready[ENGINES_RECLAIMABLE] > 0;
     }
@@ -410,8 +412,8 @@
     return s->settled;
 }
 
-/* Returns whether there are too many engines and entry instances to replace
- * engines, and logs it once. */
+/* Returns whether engines times entry instances exceed ENDPOINT_UPDATES_MAX.
+ * Logs the first time that they do. */
 static gboolean
 is_too_large(service_plan_t *s)
 {
@@ -487,8 +489,9 @@
     g_free(c);
 }
 
-/* The orders of the previous duty holder are derived from the ready engines.
- * Its calls have ended, and so have this instance's own. */
+/* The orders of the previous duty holder are not known and are derived from
+ * the ready engines. No call of the previous holder, or of an earlier term of
+ * this instance, is still in flight. */
 void
 capacity_duty_start_term(capacity_duty_t *c)
 {
--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -11,13 +11,14 @@
 enum {
     MS = 1000,
     TICK_INTERVAL_US = 25 * MS,
-    /* A leader is replaced within about twice the election timeout, well
-     * under the 3 s after which a site counts as stable again. With 0.15 of
-     * a core, a heartbeat to four voters every 150 ms costs about 3% of it. */
+    /* A failed leader is replaced within about twice the election timeout,
+     * well under the 3 s after which a site counts as stable again. On 0.15
+     * of a core, heartbeats to four voters every 150 ms use about 3% of that
+     * share. */
     ELECTION_TIMEOUT_US = 800 * MS,
     HEARTBEAT_INTERVAL_US = 150 * MS,
     HELLO_INTERVAL_US = 250 * MS,
-    /* A put that no quorum has stored by then fails, and the caller
+    /* A put that no quorum has stored after this time fails, and the caller
      * retries. */
     PUT_TIMEOUT_US = 3000 * MS,
     DISK_RETRY_INTERVAL_US = 500 * MS, /* a full or failing disk is retried */
@@ -60,10 +61,11 @@
     return hash_text(str_from_cstr(name)) | 1;
 }
 
-/* All founders have the same seeds, so that they need no coordination: each
- * starts with the same membership and derives its voter id from its
- * address. An instance that joins later, or lost its disk, creates a random
- * id and is admitted by the leader. */
+/* Fills in the membership that founders start with. All founders have the
+ * same seeds, so they need no coordination: each starts with the same
+ * membership and derives its voter id from its address. An instance that joins
+ * later, or lost its disk, creates a random id and is admitted by the leader.
+ */
 static gboolean
 founding_config(const config_log_t *log, voter_config_t *config)
 {
@@ -217,7 +219,8 @@
     task_send(log->owner, g_memdup2(&log->view, sizeof(log->view)));
 }
 
-/* Returns FALSE when the disk failed. */
+/* Writes to the disk what has to be durable before the messages in `ready`
+ * are sent. Returns FALSE when the disk failed. */
 static gboolean
 make_durable(config_log_t *log, const voter_ready_t *ready)
 {
@@ -431,7 +434,8 @@
     g_array_append_val(log->pending, pending);
 }
 
-/* A command that is lost is proposed again by the owner. */
+/* Proposes a usage command. If the command is not committed, the owner sends
+ * it again. */
 static void
 handle_usage(config_log_t *log, const config_bytes_message_t *m)
 {
--- a/carobloomd/control/config_log_members.c
+++ b/carobloomd/control/config_log_members.c
@@ -9,7 +9,7 @@
 
 enum {
     MS = 1000,
-    /* an instance that sent nothing for longer may be gone */
+    /* an instance that sent no message for longer may have ended */
     HELLO_MAX_AGE_US = 1500 * MS,
     HELLO_PEERS_MAX = 4,
     /* The first hellos are sent four times a second, time for the leader to
@@ -19,10 +19,10 @@
     HELLO_SLOW_INTERVAL = 4,
 };
 
-/* Adds some of the known control instances, in turn: when the seeds are
- * gone, one of these knows the leader. Not all of them: a hundred
- * non-members that send each other a hello four times a second send 40,000
- * messages. */
+/* Adds HELLO_PEERS_MAX of the known control instances, in rotation: when
+ * the seeds have ended, one of the others knows the leader. Not all of them
+ * at once: a hundred non-members that each send a hello to all others four
+ * times a second send 40,000 messages per second. */
 static void
 add_peers(config_log_t *log, GHashTable *names)
 {
--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -15,17 +15,18 @@
 enum {
     MS = 1000,
     EXPIRE_INTERVAL_US = 200 * MS,
-    /* Configurations kept as bases of differences. A burst of changes has
-     * three a second, and an entry instance sends a sync request at least
-     * once a second. */
+    /* Maximum number of committed configurations that are stored as bases of
+     * differences. A burst has three changes per second, and an entry
+     * instance sends a sync request at least once per second. */
     CONFIGS_MAX = 16,
     MAILBOX_BOUND = 10000,
-    /* Between two messages with loads to each other control instance: half
-     * the interval at which entry instances report. With eight others this
-     * is 160 messages a second, about 0.05 ms each for sending and
-     * receiving. */
+    /* Interval between two messages with loads to each other control
+     * instance: half the interval at which entry instances report. With eight
+     * others these are 160 messages per second, each taking about 0.05 ms to
+     * send and receive. */
     SUMS_INTERVAL_US = 50 * MS,
-    /* Time for the others to elect a leader before this instance exits. */
+    /* Time for the other voters to elect a leader before this instance exits.
+     */
     HANDOVER_TIMEOUT_US = 1500 * MS,
 };
 
@@ -256,7 +257,8 @@
     if (c->duties != NULL) {
         duties_apply_view(c->duties);
     }
-    if (may_read_now) { /* entry instances may wait for the confirmation */
+    if (may_read_now) { /* entry instances may wait for `confirmed` to become
+                           TRUE */
         pending_syncs_answer_all(c);
     }
 }
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -37,16 +37,17 @@
     GBytes *bytes; /* NULL: the cache entry is unused */
 } cached_delta_t;
 
-/* Entry instances have only a few different versions at a time. */
+/* Entry instances have only a few different configuration versions at a time.
+ */
 enum { CONTROL_CACHED_DELTAS_MAX = 8 };
 
 /* All inputs that determine an answer to a sync request. */
 typedef struct {
     guint64 since; /* the requester's lease cursor; 0: it needs all leases */
     guint64 published;
-    guint64 orders_since; /* the same for quarantine orders */
+    guint64 orders_since; /* cursors as above, for quarantine orders */
     guint64 orders;
-    guint64 limits_since; /* the same for limits of endpoints */
+    guint64 limits_since; /* cursors as above, for limits of endpoints */
     guint64 limits;
     guint64 request_version;
     guint64 version;
@@ -78,7 +79,7 @@
     http_server_t *server; /* for endpoints and operators */
     http_server_t *inner;  /* for other instances */
     registry_t *registry;
-    /* from entry instances that report to this instance */
+    /* loads that entry instances reported to this instance */
     load_sum_t *own_loads;
     /* `own_loads` and those of the other control instances */
     load_sum_t *loads;
@@ -87,11 +88,13 @@
     /* control instance -> load_delta_t of `own_loads` */
     GHashTable *peer_load_deltas;
     guint64 sums_sequence; /* sequence number of the last message with sums */
-    /* from entry instances that report to this instance */
+    /* locations of prompt parts that entry instances reported to this
+     * instance */
     part_feed_t *own_parts;
     /* `own_parts` up to here were sent to the other control instances */
     guint64 parts_sent_cursor;
-    part_feed_t *parts; /* from all control instances */
+    /* `own_parts` and those of the other control instances */
+    part_feed_t *parts;
     crash_ledger_t *crashes;
     /* quarantine orders up to here are logged and published */
     guint64 orders_published_cursor;
@@ -134,15 +137,16 @@
 };
 
 gint64 control_now(const control_t *control);
-/* The newest configuration committed here, or NULL; its version, or 0. */
+/* The newest configuration that is committed on this instance, or NULL, and
+ * its version, or 0. */
 const committed_config_t *control_newest(const control_t *control);
 guint64 control_newest_version(const control_t *control);
 /* Decodes the newest configuration; release it with route_config_unref.
  * Returns NULL when there is none, or when it is unreadable, which is
  * logged. */
 route_config_t *control_read_newest(const control_t *control);
-/* Whether the configuration committed here is certain to be the newest one
- * now. */
+/* Whether no newer configuration than the one committed on this instance can
+ * have been committed elsewhere. */
 gboolean control_may_read(const control_t *control);
 /* Answers with `text` as a JSON body. */
 void answer_json(http_exchange_t *exchange, guint status, const char *text);
@@ -233,7 +237,7 @@
 void handle_usage_report(control_t *control, http_exchange_t *exchange);
 void handle_clock(control_t *control, http_exchange_t *exchange);
 void duties_dump(const duties_t *duties, GString *text);
-/* JSON for operators, freed with g_free; NULL if it is not a duty. */
+/* JSON for operators, freed with g_free; NULL if the duty is disabled. */
 char *duties_usage_text(const duties_t *duties);
 char *duties_capacity_text(const duties_t *duties);
 
--- a/carobloomd/control/crash_reports.c
+++ b/carobloomd/control/crash_reports.c
@@ -1,5 +1,6 @@
-/* Endpoints that ended, as reported by entry instances, and the quarantine
- * of requests that are suspected to crash endpoints. */
+/* Records the endpoints that ended and the requests that were answered, as
+ * reported by entry instances, and publishes and saves the quarantine orders
+ * for requests that are suspected to crash endpoints. */
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
 #include "carobloom/gateway/crash_wire.h"
@@ -8,12 +9,11 @@
 
 enum {
     MS = 1000,
-    /* Minimum time between two saves of the quarantine orders. A save syncs
-     * the disk twice, 5 ms each, in the log's task, which blocks on the
-     * disk. */
+    /* Minimum time between two saves of the quarantine orders. A save blocks
+     * the log's task for two syncs of the disk, 5 ms each. */
     SAVE_INTERVAL_US = 1000 * MS,
-    /* Unchanged orders are saved again after this time, to update their
-     * remaining times and to retry a failed write. */
+    /* Unchanged orders are saved again after this time, to update the time
+     * left of each quarantine in the file, and to retry a failed write. */
     SAVE_MAX_INTERVAL_US = 30000 * MS,
 };
 
--- a/carobloomd/control/duties.c
+++ b/carobloomd/control/duties.c
@@ -59,7 +59,7 @@
 {
     const config_view_message_t *view = &d->control->view;
     gint64 now = clock_boot_us();
-    /* A draining instance leaves the duties to the next leader. */
+    /* A draining instance gives up the duties, for the next leader. */
     gboolean leads = view->leads && !d->control->draining;
     if (!duty_lease_update(&d->lease, leads, view->term, view->read_until_us,
                            now)) {
--- a/carobloomd/control/duties.h
+++ b/carobloomd/control/duties.h
@@ -33,7 +33,8 @@
     usage_duty_t *usage;       /* NULL: disabled by the settings */
     capacity_duty_t *capacity; /* NULL: disabled by the settings */
     gint64 clock_sent_us;
-    gint64 rate_window_us; /* start of the second in which calls are counted */
+    gint64 rate_window_us; /* start of the second in which `calls_in_window`
+                            * are counted */
     guint calls_in_window;
     guint64 timer;
 };
--- a/carobloomd/control/endpoint_leases.c
+++ b/carobloomd/control/endpoint_leases.c
@@ -1,14 +1,17 @@
+/* Heartbeats, which renew the leases of endpoints, and leave calls, which end
+ * them. */
 #include "carobloom/common/counters.h"
 #include "carobloom/common/event_log.h"
 #include "control_state.h"
 #include "platform.h"
 
 /* If no quorum was reachable for this long, or no entry instance is active,
- * leases are refused, so that the endpoint turns to an instance that can
- * publish them. An election takes about as long. */
+ * heartbeats are refused, so that the endpoint sends them to a control
+ * instance that can publish the lease. An election takes about as long. */
 static const gint64 CONTACT_TIMEOUT_US = 1500 * 1000;
 
-/* Whether a change that is recorded here reaches the entry instances. */
+/* Whether a lease that changes on this instance reaches the entry instances.
+ */
 static gboolean
 is_connected(const control_t *c)
 {
@@ -81,10 +84,10 @@
     return g_hash_table_contains(c->known_services, service);
 }
 
-/* Answers a renewal. An older incarnation is refused. A renewal that
- * arrives late or after the endpoint left is acknowledged: the endpoint's
- * later message applies, and retrying with another instance would be
- * useless. */
+/* Answers a heartbeat. The heartbeat of an older incarnation is refused. A
+ * heartbeat that arrives after a later one, or after the endpoint left, is
+ * acknowledged but changes nothing: the endpoint's later message applies, and
+ * a retry with another control instance would be useless. */
 static void
 answer_heartbeat(const control_t *c, http_exchange_t *exchange,
                  registry_result_t result)
@@ -93,9 +96,9 @@
         answer_json(exchange, 409, "{\"error\":\"it has started again\"}");
         return;
     }
-    /* The answer keeps the endpoint on this instance. If its renewals
-     * alternated between instances, each would see the endpoint expire and
-     * return, and would publish both to all entry instances. */
+    /* The answer directs later heartbeats to this instance. If heartbeats
+     * alternated between control instances, the lease would expire and return
+     * on each, and each would publish both to all entry instances. */
     char *answer = platform_heartbeat_answer(c->settings->control);
     answer_json(exchange, 200, answer);
     g_free(answer);
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -1,3 +1,5 @@
+/* Updates for entry instances: answers their sync requests, which are long
+ * polls, at once or in batches. */
 #include <string.h>
 
 #include "carobloom/common/clock.h"
@@ -14,10 +16,12 @@
     /* An entry instance is active if its last sync request is more recent
      * than this. */
     ENTRY_ACTIVE_US = 3000 * MS,
-    /* Quarantine orders in one answer, about 7 KB. Thousands of orders go
-     * out in batches, at most half a second apart. */
+    /* Maximum number of quarantine orders in one answer, about 7 KB.
+     * Thousands of orders are sent in several answers, at most half a second
+     * apart. */
     ORDERS_MAX = 128,
-    LIMITS_MAX = 256,    /* limits of endpoints in one answer, about 4 KB */
+    /* Maximum number of rate limits of endpoints in one answer, about 4 KB. */
+    LIMITS_MAX = 256,
     WAIT_MAX_MS = 10000, /* maximum wait of a sync request for updates */
     /* Minimum interval between two batches of answers to all waiting entry
      * instances, per active entry instance. An answer costs 0.1 ms, so
@@ -27,12 +31,12 @@
      * start of an endpoint's draining must be published. */
     PUBLISH_US_PER_ENTRY = 1500,
     PUBLISH_INTERVAL_MAX_US = 500 * MS,
-    /* A configuration doesn't wait for such a batch, only for
-     * configurations that are committed with it: a new leader commits all
-     * earlier entries at once. When configurations did wait, and all
-     * processes had been lost, 8 of 16 entry instances (of 347) received
-     * the configuration 500 ms later than the first one did, and refused
-     * requests until then. */
+    /* Delay between the commit of a configuration and its publication, so
+     * that configurations committed together go out once: a new leader
+     * commits all earlier log entries at once. Configurations don't wait for
+     * the next batch: after a loss of all processes, that wait made 8 of 16
+     * entry instances (of 347) receive the configuration 500 ms after the
+     * first one, and they refused requests until then. */
     CONFIG_DELAY_US = 20 * MS,
     /* Minimum interval between two counts of active entry instances, per
      * entry instance. */
@@ -140,9 +144,10 @@
     };
 }
 
-/* The entry instance that probes a quarantined request, chosen by
- * rendezvous hashing. All control instances choose the same one if the same
- * entry instances are active on them. */
+/* Chooses the entry instance that probes a quarantined request, by
+ * rendezvous hashing. All control instances choose the same entry instance
+ * if they see the same entry instances as active. Returns NULL if none is
+ * active; free the name with g_free. */
 static char *
 probe_instance(const control_t *c, guint64 fingerprint)
 {
@@ -213,10 +218,10 @@
 }
 
 /* The serialized answer, cached for all entry instances with equal
- * requests. Writing an answer each for 291 entry instances with 3,000
- * leases would keep a control instance with 0.15 cores busy for 30 s.
- * Meanwhile endpoints would time out and turn to the next instance, which
- * makes the list of leases longer still. */
+ * requests. Serializing 3,000 leases separately for each of 291 entry
+ * instances would keep a control instance with 0.15 cores busy for 30 s.
+ * Meanwhile endpoints would time out and send their heartbeats to the next
+ * control instance, whose list of leases grows even longer. */
 static GBytes *
 sync_answer_bytes(control_t *c, const sync_request_t *request)
 {
@@ -254,7 +259,7 @@
            has_config_update(c, request);
 }
 
-/* `held_us` is the time for which the request waited. */
+/* Answers a sync request that waited for `held_us`. */
 static void
 sync_answer(control_t *c, http_exchange_t *exchange,
             const sync_request_t *request, gint64 held_us)
@@ -381,9 +386,9 @@
     }
     record_entry(c, request.instance);
     gboolean updated = has_updates(c, &request);
-    /* While endpoints come and go all the time there are always updates, so
-     * an entry instance that was just answered waits for the next batch,
-     * like the others. */
+    /* While endpoints join and leave continually, there are always updates.
+     * An entry instance that sends its next request between two batches
+     * therefore waits for the next batch, like all others. */
     gboolean batched = updated && !request.more && request.epoch == c->epoch &&
                        !has_config_update(c, &request) && publish_delay(c) > 0;
     if ((updated && !batched) || request.wait_ms == 0 || c->draining) {
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -1,5 +1,5 @@
 /* Endpoints' rate limits: answers the grant requests and reports of entry
- * instances, and publishes the limits to all of them. */
+ * instances, and publishes the limits to all entry instances. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -50,6 +50,8 @@
     control_publish_updates(c);
 }
 
+/* Answers one request for grants. An instance that doesn't own the limit
+ * only records the reported limit, to publish it, and grants nothing. */
 static limit_grant_t
 handle_limit_request(control_t *c, const limit_requester_t *requester,
                      const limit_request_t *request)
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -1,6 +1,7 @@
 /* Exchange of loads (requests in flight) and of the locations of prompt
- * parts. Entry instances report theirs here and receive the totals; control
- * instances send each other what was reported to them. */
+ * parts. Each entry instance reports its own to one control instance and
+ * receives the totals; control instances send each other the sums of the
+ * reports that they received. */
 #include "carobloom/common/counters.h"
 #include "carobloom/gateway/load_wire.h"
 #include "carobloom/policy/collector.h"
@@ -25,7 +26,7 @@
         return;
     }
     if (c->draining) {
-        /* The entry instance reports to another control instance. */
+        /* A refused entry instance reports to another control instance. */
         load_report_clear(&report);
         answer_json(exchange, 503, "{\"error\":\"ending\"}");
         return;
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -8,8 +8,8 @@
 
 enum {
     MS = 1000,
-    /* A command that was not committed after this time is proposed again; a
-     * slow disk takes a tenth of a second. */
+    /* A command that was not committed after this time is proposed again. A
+     * slow disk takes a tenth of a second to store it. */
     PROPOSE_RETRY_US = 1000 * MS,
     /* Delay before a failed call is repeated; doubled each time, up to the
      * maximum. */
--- a/include/carobloom/control/config_log.h
+++ b/include/carobloom/control/config_log.h
@@ -59,8 +59,9 @@
 typedef struct {
     message_t base;
     gboolean leads;
-    gint64 read_until_us; /* clock_boot_us; until then the state applied here
-                             is the newest one. 0: it may be outdated */
+    gint64 read_until_us; /* clock_boot_us until which the state applied on
+                             this instance is the newest one. 0: the state may
+                             be outdated */
     gboolean in_quorum;   /* the leader is known; if this instance leads, its
                              leader lease is valid */
     gboolean first_start; /* a founder that started with an empty disk */
