--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -83,7 +83,7 @@
 static gboolean
 start_empty(config_log_t *log)
 {
-    replica_log_t none;
+    replica_log_t empty_log;
     char *why = NULL;
     voter_config_t config;
     gboolean is_founder = founding_config(log, &config);
@@ -95,10 +95,11 @@
     }
     store_state_t state = {
         .snapshot = {.config = config, .data = g_bytes_new(NULL, 0)}};
-    replica_log_init(&none);
+    replica_log_init(&empty_log);
     int result = log_store_set_id(log->store, log->id, &why);
     if (result == STORE_OK) {
-        result = log_store_snapshot(log->store, &state.snapshot, &none, &why);
+        result =
+            log_store_snapshot(log->store, &state.snapshot, &empty_log, &why);
     }
     if (result == STORE_OK) {
         core_start(log, &state);
@@ -108,7 +109,7 @@
         event_log_cstr("outcome", why != NULL ? why : "started");
         event_log_end();
     }
-    replica_log_clear(&none);
+    replica_log_clear(&empty_log);
     g_bytes_unref(state.snapshot.data);
     g_free(why);
     return result == STORE_OK;
@@ -289,7 +290,7 @@
             config_log_send_result(log, pending.call, TRUE);
             g_array_remove_index_fast(log->pending, i - 1);
         }
-        else if (clock_boot_us() > pending.until_us ||
+        else if (clock_boot_us() > pending.deadline_us ||
                  voter_role(log->core) != ROLE_LEADER) {
             config_log_send_result(log, pending.call, FALSE);
             g_array_remove_index_fast(log->pending, i - 1);
@@ -430,7 +431,7 @@
     }
     pending_commit_t pending = {.call = m->call,
                                 .version = m->version,
-                                .until_us = now + PUT_TIMEOUT_US};
+                                .deadline_us = now + PUT_TIMEOUT_US};
     g_array_append_val(log->pending, pending);
 }
 
--- a/carobloomd/control/config_log_state.h
+++ b/carobloomd/control/config_log_state.h
@@ -16,7 +16,7 @@
 typedef struct {
     guint64 call;
     guint64 version;
-    gint64 until_us;
+    gint64 deadline_us;
 } pending_commit_t;
 
 /* Another control instance that sent a message here. */
--- a/carobloomd/control/control.c
+++ b/carobloomd/control/control.c
@@ -19,7 +19,7 @@
      * differences. A burst has three changes per second, and an entry
      * instance sends a sync request at least once per second. */
     CONFIGS_MAX = 16,
-    MAILBOX_BOUND = 10000,
+    MAILBOX_BOUND = 10000, /* messages */
     /* Interval between two messages with loads to each other control
      * instance: half the interval at which entry instances report. With eight
      * others these are 160 messages per second, each taking about 0.05 ms to
@@ -69,8 +69,8 @@
 guint64
 control_newest_version(const control_t *c)
 {
-    const committed_config_t *text = control_newest(c);
-    return text != NULL ? text->version : 0;
+    const committed_config_t *newest = control_newest(c);
+    return newest != NULL ? newest->version : 0;
 }
 
 route_config_t *
@@ -210,10 +210,10 @@
     if (control_newest(c) != NULL && m->version <= control_newest_version(c)) {
         return;
     }
-    committed_config_t *text = g_new0(committed_config_t, 1);
-    *text = (committed_config_t){.version = m->version,
-                                 .text = g_bytes_ref(m->text)};
-    g_queue_push_tail(&c->configs, text);
+    committed_config_t *config = g_new0(committed_config_t, 1);
+    *config = (committed_config_t){.version = m->version,
+                                   .text = g_bytes_ref(m->text)};
+    g_queue_push_tail(&c->configs, config);
     while (c->configs.length > CONFIGS_MAX) {
         committed_config_free(g_queue_pop_head(&c->configs));
     }
@@ -421,7 +421,7 @@
 control_drain(control_t *c)
 {
     c->draining = TRUE;
-    c->drained_us = control_now(c) + HANDOVER_TIMEOUT_US;
+    c->drain_until_us = control_now(c) + HANDOVER_TIMEOUT_US;
     http_server_drain(c->server);
     http_server_drain(c->inner);
     pending_syncs_answer_all(c);
@@ -431,7 +431,7 @@
 gboolean
 control_idle(const control_t *c)
 {
-    return c->draining && control_now(c) >= c->drained_us &&
+    return c->draining && control_now(c) >= c->drain_until_us &&
            http_server_exchanges(c->server) == 0;
 }
 
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -133,7 +133,7 @@
     /* time of the last sync request of any entry instance */
     gint64 last_sync_us;
     gboolean draining;
-    gint64 drained_us;
+    gint64 drain_until_us;
 };
 
 gint64 control_now(const control_t *control);
--- a/carobloomd/control/entry_news.c
+++ b/carobloomd/control/entry_news.c
@@ -102,9 +102,10 @@
     GHashTableIter iter;
     gpointer value;
     gint64 now = control_now(c);
-    gint64 pause_us =
+    gint64 interval_us =
         g_hash_table_size(c->entries) * (gint64)COUNT_US_PER_ENTRY;
-    if (c->entries_counted_us != 0 && now - c->entries_counted_us < pause_us) {
+    if (c->entries_counted_us != 0 &&
+        now - c->entries_counted_us < interval_us) {
         return c->active_entries;
     }
     c->entries_counted_us = now;
@@ -153,13 +154,13 @@
 {
     GHashTableIter iter;
     gpointer name;
-    gpointer asked_us;
+    gpointer synced_us;
     const char *best = NULL;
     guint64 best_rank = 0;
     g_hash_table_iter_init(&iter, c->entries);
-    while (g_hash_table_iter_next(&iter, &name, &asked_us)) {
+    while (g_hash_table_iter_next(&iter, &name, &synced_us)) {
         guint64 rank = hash_pair(fingerprint, hash_text(str_from_cstr(name)));
-        if (control_now(c) - *(gint64 *)asked_us < ENTRY_ACTIVE_US &&
+        if (control_now(c) - *(gint64 *)synced_us < ENTRY_ACTIVE_US &&
             (best == NULL || rank > best_rank)) {
             best = name;
             best_rank = rank;
@@ -259,15 +260,15 @@
            has_config_update(c, request);
 }
 
-/* Answers a sync request that waited for `held_us`. */
+/* Answers a sync request that waited for `waited_us`. */
 static void
 sync_answer(control_t *c, http_exchange_t *exchange,
-            const sync_request_t *request, gint64 held_us)
+            const sync_request_t *request, gint64 waited_us)
 {
     char fields[64];
     GBytes *bytes = sync_answer_bytes(c, request);
     g_snprintf(fields, sizeof(fields), HELD_FIELD ": %d\r\n",
-               (int)(held_us / MS));
+               (int)(waited_us / MS));
     http_exchange_answer(exchange, 200, str_from_cstr(fields),
                          str_from_bytes(bytes));
     g_bytes_unref(bytes);
@@ -328,23 +329,25 @@
 static gint64
 publish_delay(control_t *c)
 {
-    gint64 pause = active_entries_count(c) * (gint64)PUBLISH_US_PER_ENTRY;
-    return c->published_us + MIN(pause, PUBLISH_INTERVAL_MAX_US) -
+    gint64 interval_us =
+        active_entries_count(c) * (gint64)PUBLISH_US_PER_ENTRY;
+    return c->published_us + MIN(interval_us, PUBLISH_INTERVAL_MAX_US) -
            control_now(c);
 }
 
 void
 control_publish_updates(control_t *c)
 {
-    gint64 left = publish_delay(c);
+    gint64 delay_us = publish_delay(c);
     if (c->publish_timer != 0) {
         return;
     }
-    if (left <= 0) {
+    if (delay_us <= 0) {
         publish_now(c);
         return;
     }
-    c->publish_timer = timers_subscribe(c->timers, left, 0, publish_due, c);
+    c->publish_timer =
+        timers_subscribe(c->timers, delay_us, 0, publish_due, c);
 }
 
 static void
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -104,10 +104,10 @@
         g_array_append_val(answer.grants, grant);
     }
     limit_report_clear(&report);
-    GBytes *answered = limit_answer_write(&answer);
+    GBytes *encoded = limit_answer_write(&answer);
     limit_answer_clear(&answer);
-    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(answered));
-    g_bytes_unref(answered);
+    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(encoded));
+    g_bytes_unref(encoded);
     counter_add(counter_get("limit_asks_total", NULL, FALSE), 1);
     counter_add(counter_get("limit_sends_granted_total", NULL, FALSE),
                 granted);
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -44,10 +44,10 @@
     };
     answer.parts = part_feed_since(c->parts, &answer.parts_received);
     load_report_clear(&report);
-    GBytes *answered = load_answer_write(&answer);
+    GBytes *encoded = load_answer_write(&answer);
     load_answer_clear(&answer);
-    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(answered));
-    g_bytes_unref(answered);
+    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(encoded));
+    g_bytes_unref(encoded);
     counter_add(counter_get("load_reports_total", NULL, FALSE), 1);
 }
 
--- a/carobloomd/control/log_state.c
+++ b/carobloomd/control/log_state.c
@@ -114,10 +114,10 @@
 log_state_snapshot(const log_state_t *s)
 {
     GBytes *usage = usage_ledger_write(s->usage);
-    GBytes *whole = codec_write(g_variant_new(
+    GBytes *snapshot = codec_write(g_variant_new(
         "(t@ay@ay)", s->version, codec_bytes(s->text), codec_bytes(usage)));
-    GBytes *command = command_write(KIND_SNAPSHOT, whole);
-    g_bytes_unref(whole);
+    GBytes *command = command_write(KIND_SNAPSHOT, snapshot);
+    g_bytes_unref(snapshot);
     g_bytes_unref(usage);
     return command;
 }
--- a/carobloomd/control/operator_calls.c
+++ b/carobloomd/control/operator_calls.c
@@ -111,18 +111,18 @@
 void
 handle_config_get(control_t *c, http_exchange_t *exchange)
 {
-    const committed_config_t *text = control_newest(c);
+    const committed_config_t *newest = control_newest(c);
     if (!control_may_read(c)) {
         redirect_to_leader(c, exchange);
         return;
     }
-    if (text == NULL) {
+    if (newest == NULL) {
         answer_json(exchange, 503, "{\"error\":\"no configuration yet\"}");
         return;
     }
     http_exchange_answer(exchange, 200,
                          STR("Content-Type: application/json\r\n"),
-                         str_from_bytes(text->text));
+                         str_from_bytes(newest->text));
 }
 
 void
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -237,11 +237,12 @@
             rows,
             window_json(f->figures, f->accepted ? "told" : "not told yet"));
     }
-    GPtrArray *open = usage_book_pending(u->book);
-    for (guint i = 0; i < open->len; i++) {
-        json_array_append_new(rows, window_json(open->pdata[i], "counting"));
+    GPtrArray *pending = usage_book_pending(u->book);
+    for (guint i = 0; i < pending->len; i++) {
+        json_array_append_new(rows,
+                              window_json(pending->pdata[i], "counting"));
     }
-    g_ptr_array_unref(open);
+    g_ptr_array_unref(pending);
     const gateway_settings_t *s = u->duties->control->settings;
     json_t *root =
         json_pack("{s:b,s:f,s:s,s:o}", "held", u->duties->lease.token != 0,
