--- a/carobloomd/control/capacity_duty.c
+++ b/carobloomd/control/capacity_duty.c
@@ -66,11 +66,11 @@
     char *service;
     capacity_plan_t plan;
     capacity_bounds_t bounds;
-    gint64 boot_us;
-    guint slots;
+    gint64 boot_us; /* time from the order of an engine until it is ready */
+    guint slots;    /* of one engine */
     capacity_data_centre_t *data_centres; /* sorted by the plan */
-    GHashTable *states; /* data centre -> data_centre_state_t */
-    guint count;
+    GHashTable *states;    /* data centre -> data_centre_state_t */
+    guint count;           /* of data_centres */
     gint64 increased_us;   /* time of the last order for more */
     gint64 unavailable_us; /* last time a data centre had no engines available;
                             * engines that are released then cannot be ordered
@@ -78,7 +78,7 @@
     gint64 first_ready_us; /* when ready engines were first reported */
     gint64 ready_since_us; /* since when ready_engines is unchanged */
     guint ready_engines;
-    gboolean settled;
+    gboolean settled;   /* last result of is_settled; stays TRUE */
     gboolean too_large; /* last result of is_too_large */
 };
 
@@ -87,8 +87,8 @@
     capacity_demand_t *demand;
     GHashTable *services; /* name -> service_plan_t */
     guint64 version;      /* of the configuration last applied */
-    guint reports;
-    gint64 planned_us;
+    guint reports;        /* received in this term */
+    gint64 planned_us;    /* time of the last plan */
 };
 
 /* ---- services of the configuration ---- */
--- a/carobloomd/control/config_log_members.c
+++ b/carobloomd/control/config_log_members.c
@@ -71,6 +71,8 @@
     g_hash_table_unref(names);
 }
 
+/* Time since the last message of a member; G_MAXINT64 if none was received,
+ * 0 for this voter itself. */
 static gint64
 silence_us(const config_log_t *log, const voter_member_t *member, gint64 now)
 {
--- a/carobloomd/control/config_log_state.h
+++ b/carobloomd/control/config_log_state.h
@@ -64,8 +64,9 @@
 void config_log_publish_usage(config_log_t *log);
 
 /* config_log_members.c */
-/* Sends a hello to all possible leaders if this voter is not a voting
- * member, or knows no leader and so may have been removed. */
+/* Sends a hello to the seeds, the members and some other known control
+ * instances, one of which should know the leader, if this voter is not a
+ * voting member, or knows no leader and so may have been removed. */
 void members_send_hello(config_log_t *log);
 /* On the leader: admits new voters and removes dead ones. Called
  * periodically. */
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -75,6 +75,8 @@
     timers_t *timers;
     char *self;
     traffic_t *traffic;
+    /* random number of this incarnation; cursors of another epoch are invalid
+     */
     guint64 epoch;
     http_server_t *server; /* for endpoints and operators */
     http_server_t *inner;  /* for other instances */
@@ -113,10 +115,10 @@
     GHashTable *peers;        /* address -> peer_t */
     GList *pending_syncs;     /* pending_sync_t */
     guint64 publish_timer;    /* next batch of updates; 0: none is scheduled */
-    gint64 published_us;      /* time of the last batch */
+    gint64 published_us;      /* time of the last publication */
     guint64 config_timer;     /* publication of a configuration; 0: none is
                                  scheduled */
-    guint64 published_cursor; /* lease cursor at the last batch */
+    guint64 published_cursor; /* lease cursor at the last publication */
     cached_answer_t answers[CONTROL_CACHED_ANSWERS_MAX];
     guint next_cached_answer; /* the cache entry to replace next, modulo the
                                  size */
@@ -128,12 +130,12 @@
     /* set of all names that were in a configuration */
     GHashTable *known_services;
     guint64 services_version; /* the newest configuration in that set */
-    guint64 last_call;
+    guint64 last_call; /* `call` of the last put that was sent to the log */
     gint64 last_quorum_us; /* last time that the quorum was reachable */
     /* time of the last sync request of any entry instance */
     gint64 last_sync_us;
     gboolean draining;
-    gint64 drain_until_us;
+    gint64 drain_until_us; /* the instance doesn't exit before this time */
 };
 
 gint64 control_now(const control_t *control);
@@ -148,7 +150,7 @@
 /* Whether no newer configuration than the one committed on this instance can
  * have been committed elsewhere. */
 gboolean control_may_read(const control_t *control);
-/* Answers with `text` as a JSON body. */
+/* Answers with `text`, which must be JSON. */
 void answer_json(http_exchange_t *exchange, guint status, const char *text);
 /* The body that an instance posted. The bytes are valid as long as the
  * exchange's body; release them with g_bytes_unref. */
@@ -192,8 +194,8 @@
  * lost. */
 void load_sums_delivery_ended(control_t *control, const char *to,
                               gboolean accepted);
-/* Sends all sums, not only changes, to each control instance next time. To
- * be called when the members change. */
+/* Makes the next message to each control instance contain all sums, not only
+ * the changed ones. To be called when the members change. */
 void load_sums_reset(control_t *control);
 
 /* crash_reports.c */
@@ -201,12 +203,14 @@
 /* Restores the quarantine orders that were saved before this process
  * started. */
 void handle_saved_orders(control_t *control, const config_bytes_message_t *m);
-/* To be called several times a second. */
+/* Decides on new quarantine orders, publishes and saves them. To be called
+ * several times per second. */
 void crash_reports_tick(control_t *control);
 
 /* limit_asks.c */
 void handle_limits(control_t *control, http_exchange_t *exchange);
-/* To be called several times a second. */
+/* Removes expired grants, and limits without a recent request or report. To be
+ * called several times per second. */
 void limits_expire(control_t *control);
 
 /* peer_messages.c */
--- a/carobloomd/control/duties.h
+++ b/carobloomd/control/duties.h
@@ -32,7 +32,7 @@
     site_clock_t *clock;
     usage_duty_t *usage;       /* NULL: disabled by the settings */
     capacity_duty_t *capacity; /* NULL: disabled by the settings */
-    gint64 clock_sent_us;
+    gint64 clock_sent_us;  /* time of the last clock report to the others */
     gint64 rate_window_us; /* start of the second in which `calls_in_window`
                             * are counted */
     guint calls_in_window;
--- a/carobloomd/control/duty_calls.c
+++ b/carobloomd/control/duty_calls.c
@@ -6,8 +6,9 @@
 
 enum {
     MS = 1000,
-    /* A slow platform answers within a second or two. A call that takes longer
-     * is repeated, which has no effect if the first one arrived. */
+    /* A slow platform answers within one or two seconds. A call without an
+     * answer is repeated, which has no effect if the platform had already
+     * processed it. */
     CALL_TIMEOUT_US = 4000 * MS,
 };
 
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -50,8 +50,9 @@
     control_publish_updates(c);
 }
 
-/* Answers one request for grants. An instance that doesn't own the limit
- * only records the reported limit, to publish it, and grants nothing. */
+/* Answers one grant request. An instance that doesn't own the limit grants
+ * nothing and only records the limit, to publish it for requesters to which
+ * the owner doesn't reply. */
 static limit_grant_t
 handle_limit_request(control_t *c, const limit_requester_t *requester,
                      const limit_request_t *request)
--- a/carobloomd/control/log_state.h
+++ b/carobloomd/control/log_state.h
@@ -20,8 +20,8 @@
 void log_state_init(log_state_t *state);
 void log_state_clear(log_state_t *state);
 /* Applies a command, or a snapshot, which replaces the whole state. Other
- * bytes change nothing; nor does the empty snapshot that founders start
- * with. Returns the LOG_STATE_ bits of what changed. */
+ * bytes, and the empty snapshot that founders start with, change nothing.
+ * Returns the LOG_STATE_ bits of what changed. */
 guint log_state_apply(log_state_t *state, GBytes *command);
 /* The whole state as a command for log_state_apply. */
 GBytes *log_state_snapshot(const log_state_t *state);
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -26,8 +26,8 @@
     guint64 reporting;        /* the window of the call in flight; 0: none */
     guint64 accepted_through; /* last window that the platform accepted; the
                                * log may not have it yet */
-    gint64 retry_at_us;
-    gint64 retry_us;
+    gint64 retry_at_us; /* no call before this time, after a failed one */
+    gint64 retry_us;    /* current retry delay; 0: the last call succeeded */
 };
 
 static usage_schedule_t
@@ -124,6 +124,7 @@
     }
 }
 
+/* Proposes a command that finalizes the next window that is due, if any. */
 static void
 finalize_due(usage_duty_t *u)
 {
@@ -189,6 +190,8 @@
     return platform_usage_encode(stamp, payload);
 }
 
+/* Reports the first finalized window that the platform has not accepted. One
+ * call is in flight at a time. */
 static void
 report_pending(usage_duty_t *u)
 {
--- a/include/carobloom/control/config_log.h
+++ b/include/carobloom/control/config_log.h
@@ -55,7 +55,8 @@
     GBytes *text;
 } config_applied_message_t;
 
-/* CONFIG_LOG_VIEW: the state of the group as this voter knows it. */
+/* CONFIG_LOG_VIEW: the leader, the term and the voters, as known to this
+ * voter. */
 typedef struct {
     message_t base;
     gboolean leads;
@@ -64,7 +65,8 @@
                              be outdated */
     gboolean in_quorum;   /* the leader is known; if this instance leads, its
                              leader lease is valid */
-    gboolean first_start; /* a founder that started with an empty disk */
+    gboolean first_start; /* this voter is a founder that started with an
+                             empty disk */
     guint64 term;
     char leader[VOTER_NAME_MAX + 1]; /* empty when not known */
     voter_config_t voters;
@@ -74,7 +76,8 @@
  * from the log: the whole current ledger.
  * CONFIG_LOG_SAVE_LOCAL: bytes to store beside the log, replacing the previous
  * ones. They belong to this instance alone and are not replicated.
- * CONFIG_LOG_LOCAL_STATE: these bytes, as found at startup. */
+ * CONFIG_LOG_LOCAL_STATE: the bytes of the last CONFIG_LOG_SAVE_LOCAL, as
+ * found on the disk at startup. */
 typedef struct {
     message_t base;
     GBytes *bytes;
