--- a/carobloomd/control/config_log.c
+++ b/carobloomd/control/config_log.c
@@ -11,13 +11,14 @@
 enum {
     MS = 1000,
     TICK_INTERVAL_US = 25 * MS,
-    /* A leader is replaced within about twice the election timeout, well
-     * under the 3 s after which a site counts as stable again. With 0.15 of
-     * a core, a heartbeat to four voters every 150 ms costs about 3% of it. */
+    /* A failed leader is replaced within about twice the election timeout,
+     * well under the 3 s after which a site counts as stable again. On 0.15
+     * of a core, heartbeats to four voters every 150 ms use about 3% of that
+     * share. */
     ELECTION_TIMEOUT_US = 800 * MS,
     HEARTBEAT_INTERVAL_US = 150 * MS,
     HELLO_INTERVAL_US = 250 * MS,
-    /* A put that no quorum has stored by then fails, and the caller
+    /* A put that no quorum has stored after this time fails, and the caller
      * retries. */
     PUT_TIMEOUT_US = 3000 * MS,
     DISK_RETRY_INTERVAL_US = 500 * MS, /* a full or failing disk is retried */
@@ -60,10 +61,11 @@
     return hash_text(str_from_cstr(name)) | 1;
 }
 
-/* All founders have the same seeds, so that they need no coordination: each
- * starts with the same membership and derives its voter id from its
- * address. An instance that joins later, or lost its disk, creates a random
- * id and is admitted by the leader. */
+/* Fills in the membership that founders start with. All founders have the
+ * same seeds, so they need no coordination: each starts with the same
+ * membership and derives its voter id from its address. An instance that joins
+ * later, or lost its disk, creates a random id and is admitted by the leader.
+ */
 static gboolean
 founding_config(const config_log_t *log, voter_config_t *config)
 {
@@ -81,7 +83,7 @@
 static gboolean
 start_empty(config_log_t *log)
 {
-    replica_log_t none;
+    replica_log_t empty_log;
     char *why = NULL;
     voter_config_t config;
     gboolean is_founder = founding_config(log, &config);
@@ -93,10 +95,11 @@
     }
     store_state_t state = {
         .snapshot = {.config = config, .data = g_bytes_new(NULL, 0)}};
-    replica_log_init(&none);
+    replica_log_init(&empty_log);
     int result = log_store_set_id(log->store, log->id, &why);
     if (result == STORE_OK) {
-        result = log_store_snapshot(log->store, &state.snapshot, &none, &why);
+        result =
+            log_store_snapshot(log->store, &state.snapshot, &empty_log, &why);
     }
     if (result == STORE_OK) {
         core_start(log, &state);
@@ -106,7 +109,7 @@
         event_log_cstr("outcome", why != NULL ? why : "started");
         event_log_end();
     }
-    replica_log_clear(&none);
+    replica_log_clear(&empty_log);
     g_bytes_unref(state.snapshot.data);
     g_free(why);
     return result == STORE_OK;
@@ -217,7 +220,8 @@
     task_send(log->owner, g_memdup2(&log->view, sizeof(log->view)));
 }
 
-/* Returns FALSE when the disk failed. */
+/* Writes to the disk what has to be durable before the messages in `ready`
+ * are sent. Returns FALSE when the disk failed. */
 static gboolean
 make_durable(config_log_t *log, const voter_ready_t *ready)
 {
@@ -286,7 +290,7 @@
             config_log_send_result(log, pending.call, TRUE);
             g_array_remove_index_fast(log->pending, i - 1);
         }
-        else if (clock_boot_us() > pending.until_us ||
+        else if (clock_boot_us() > pending.deadline_us ||
                  voter_role(log->core) != ROLE_LEADER) {
             config_log_send_result(log, pending.call, FALSE);
             g_array_remove_index_fast(log->pending, i - 1);
@@ -427,11 +431,12 @@
     }
     pending_commit_t pending = {.call = m->call,
                                 .version = m->version,
-                                .until_us = now + PUT_TIMEOUT_US};
+                                .deadline_us = now + PUT_TIMEOUT_US};
     g_array_append_val(log->pending, pending);
 }
 
-/* A command that is lost is proposed again by the owner. */
+/* Proposes a usage command. If the command is not committed, the owner sends
+ * it again. */
 static void
 handle_usage(config_log_t *log, const config_bytes_message_t *m)
 {
--- a/carobloomd/control/control_state.h
+++ b/carobloomd/control/control_state.h
@@ -37,16 +37,17 @@
     GBytes *bytes; /* NULL: the cache entry is unused */
 } cached_delta_t;
 
-/* Entry instances have only a few different versions at a time. */
+/* Entry instances have only a few different configuration versions at a time.
+ */
 enum { CONTROL_CACHED_DELTAS_MAX = 8 };
 
 /* All inputs that determine an answer to a sync request. */
 typedef struct {
     guint64 since; /* the requester's lease cursor; 0: it needs all leases */
     guint64 published;
-    guint64 orders_since; /* the same for quarantine orders */
+    guint64 orders_since; /* cursors as above, for quarantine orders */
     guint64 orders;
-    guint64 limits_since; /* the same for limits of endpoints */
+    guint64 limits_since; /* cursors as above, for limits of endpoints */
     guint64 limits;
     guint64 request_version;
     guint64 version;
@@ -74,11 +75,13 @@
     timers_t *timers;
     char *self;
     traffic_t *traffic;
+    /* random number of this incarnation; cursors of another epoch are invalid
+     */
     guint64 epoch;
     http_server_t *server; /* for endpoints and operators */
     http_server_t *inner;  /* for other instances */
     registry_t *registry;
-    /* from entry instances that report to this instance */
+    /* loads that entry instances reported to this instance */
     load_sum_t *own_loads;
     /* `own_loads` and those of the other control instances */
     load_sum_t *loads;
@@ -87,11 +90,13 @@
     /* control instance -> load_delta_t of `own_loads` */
     GHashTable *peer_load_deltas;
     guint64 sums_sequence; /* sequence number of the last message with sums */
-    /* from entry instances that report to this instance */
+    /* locations of prompt parts that entry instances reported to this
+     * instance */
     part_feed_t *own_parts;
     /* `own_parts` up to here were sent to the other control instances */
     guint64 parts_sent_cursor;
-    part_feed_t *parts; /* from all control instances */
+    /* `own_parts` and those of the other control instances */
+    part_feed_t *parts;
     crash_ledger_t *crashes;
     /* quarantine orders up to here are logged and published */
     guint64 orders_published_cursor;
@@ -110,10 +115,10 @@
     GHashTable *peers;        /* address -> peer_t */
     GList *pending_syncs;     /* pending_sync_t */
     guint64 publish_timer;    /* next batch of updates; 0: none is scheduled */
-    gint64 published_us;      /* time of the last batch */
+    gint64 published_us;      /* time of the last publication */
     guint64 config_timer;     /* publication of a configuration; 0: none is
                                  scheduled */
-    guint64 published_cursor; /* lease cursor at the last batch */
+    guint64 published_cursor; /* lease cursor at the last publication */
     cached_answer_t answers[CONTROL_CACHED_ANSWERS_MAX];
     guint next_cached_answer; /* the cache entry to replace next, modulo the
                                  size */
@@ -125,26 +130,27 @@
     /* set of all names that were in a configuration */
     GHashTable *known_services;
     guint64 services_version; /* the newest configuration in that set */
-    guint64 last_call;
+    guint64 last_call; /* `call` of the last put that was sent to the log */
     gint64 last_quorum_us; /* last time that the quorum was reachable */
     /* time of the last sync request of any entry instance */
     gint64 last_sync_us;
     gboolean draining;
-    gint64 drained_us;
+    gint64 drain_until_us; /* the instance doesn't exit before this time */
 };
 
 gint64 control_now(const control_t *control);
-/* The newest configuration committed here, or NULL; its version, or 0. */
+/* The newest configuration that is committed on this instance, or NULL, and
+ * its version, or 0. */
 const committed_config_t *control_newest(const control_t *control);
 guint64 control_newest_version(const control_t *control);
 /* Decodes the newest configuration; release it with route_config_unref.
  * Returns NULL when there is none, or when it is unreadable, which is
  * logged. */
 route_config_t *control_read_newest(const control_t *control);
-/* Whether the configuration committed here is certain to be the newest one
- * now. */
+/* Whether no newer configuration than the one committed on this instance can
+ * have been committed elsewhere. */
 gboolean control_may_read(const control_t *control);
-/* Answers with `text` as a JSON body. */
+/* Answers with `text`, which must be JSON. */
 void answer_json(http_exchange_t *exchange, guint status, const char *text);
 /* The body that an instance posted. The bytes are valid as long as the
  * exchange's body; release them with g_bytes_unref. */
@@ -188,8 +194,8 @@
  * lost. */
 void load_sums_delivery_ended(control_t *control, const char *to,
                               gboolean accepted);
-/* Sends all sums, not only changes, to each control instance next time. To
- * be called when the members change. */
+/* Makes the next message to each control instance contain all sums, not only
+ * the changed ones. To be called when the members change. */
 void load_sums_reset(control_t *control);
 
 /* crash_reports.c */
@@ -197,12 +203,14 @@
 /* Restores the quarantine orders that were saved before this process
  * started. */
 void handle_saved_orders(control_t *control, const config_bytes_message_t *m);
-/* To be called several times a second. */
+/* Decides on new quarantine orders, publishes and saves them. To be called
+ * several times per second. */
 void crash_reports_tick(control_t *control);
 
 /* limit_asks.c */
 void handle_limits(control_t *control, http_exchange_t *exchange);
-/* To be called several times a second. */
+/* Removes expired grants, and limits without a recent request or report. To be
+ * called several times per second. */
 void limits_expire(control_t *control);
 
 /* peer_messages.c */
@@ -233,7 +241,7 @@
 void handle_usage_report(control_t *control, http_exchange_t *exchange);
 void handle_clock(control_t *control, http_exchange_t *exchange);
 void duties_dump(const duties_t *duties, GString *text);
-/* JSON for operators, freed with g_free; NULL if it is not a duty. */
+/* JSON for operators, freed with g_free; NULL if the duty is disabled. */
 char *duties_usage_text(const duties_t *duties);
 char *duties_capacity_text(const duties_t *duties);
 
--- a/carobloomd/control/limit_asks.c
+++ b/carobloomd/control/limit_asks.c
@@ -1,5 +1,5 @@
 /* Endpoints' rate limits: answers the grant requests and reports of entry
- * instances, and publishes the limits to all of them. */
+ * instances, and publishes the limits to all entry instances. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -50,6 +50,9 @@
     control_publish_updates(c);
 }
 
+/* Answers one grant request. An instance that doesn't own the limit grants
+ * nothing and only records the limit, to publish it for requesters to which
+ * the owner doesn't reply. */
 static limit_grant_t
 handle_limit_request(control_t *c, const limit_requester_t *requester,
                      const limit_request_t *request)
@@ -102,10 +105,10 @@
         g_array_append_val(answer.grants, grant);
     }
     limit_report_clear(&report);
-    GBytes *answered = limit_answer_write(&answer);
+    GBytes *encoded = limit_answer_write(&answer);
     limit_answer_clear(&answer);
-    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(answered));
-    g_bytes_unref(answered);
+    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(encoded));
+    g_bytes_unref(encoded);
     counter_add(counter_get("limit_asks_total", NULL, FALSE), 1);
     counter_add(counter_get("limit_sends_granted_total", NULL, FALSE),
                 granted);
--- a/carobloomd/control/load_exchange.c
+++ b/carobloomd/control/load_exchange.c
@@ -1,6 +1,7 @@
 /* Exchange of loads (requests in flight) and of the locations of prompt
- * parts. Entry instances report theirs here and receive the totals; control
- * instances send each other what was reported to them. */
+ * parts. Each entry instance reports its own to one control instance and
+ * receives the totals; control instances send each other the sums of the
+ * reports that they received. */
 #include "carobloom/common/counters.h"
 #include "carobloom/gateway/load_wire.h"
 #include "carobloom/policy/collector.h"
@@ -25,7 +26,7 @@
         return;
     }
     if (c->draining) {
-        /* The entry instance reports to another control instance. */
+        /* A refused entry instance reports to another control instance. */
         load_report_clear(&report);
         answer_json(exchange, 503, "{\"error\":\"ending\"}");
         return;
@@ -43,10 +44,10 @@
     };
     answer.parts = part_feed_since(c->parts, &answer.parts_received);
     load_report_clear(&report);
-    GBytes *answered = load_answer_write(&answer);
+    GBytes *encoded = load_answer_write(&answer);
     load_answer_clear(&answer);
-    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(answered));
-    g_bytes_unref(answered);
+    http_exchange_answer(exchange, 200, STR(""), str_from_bytes(encoded));
+    g_bytes_unref(encoded);
     counter_add(counter_get("load_reports_total", NULL, FALSE), 1);
 }
 
--- a/carobloomd/control/usage_duty.c
+++ b/carobloomd/control/usage_duty.c
@@ -8,8 +8,8 @@
 
 enum {
     MS = 1000,
-    /* A command that was not committed after this time is proposed again; a
-     * slow disk takes a tenth of a second. */
+    /* A command that was not committed after this time is proposed again. A
+     * slow disk takes a tenth of a second to store it. */
     PROPOSE_RETRY_US = 1000 * MS,
     /* Delay before a failed call is repeated; doubled each time, up to the
      * maximum. */
@@ -26,8 +26,8 @@
     guint64 reporting;        /* the window of the call in flight; 0: none */
     guint64 accepted_through; /* last window that the platform accepted; the
                                * log may not have it yet */
-    gint64 retry_at_us;
-    gint64 retry_us;
+    gint64 retry_at_us; /* no call before this time, after a failed one */
+    gint64 retry_us;    /* current retry delay; 0: the last call succeeded */
 };
 
 static usage_schedule_t
@@ -124,6 +124,7 @@
     }
 }
 
+/* Proposes a command that finalizes the next window that is due, if any. */
 static void
 finalize_due(usage_duty_t *u)
 {
@@ -189,6 +190,8 @@
     return platform_usage_encode(stamp, payload);
 }
 
+/* Reports the first finalized window that the platform has not accepted. One
+ * call is in flight at a time. */
 static void
 report_pending(usage_duty_t *u)
 {
@@ -237,11 +240,12 @@
             rows,
             window_json(f->figures, f->accepted ? "told" : "not told yet"));
     }
-    GPtrArray *open = usage_book_pending(u->book);
-    for (guint i = 0; i < open->len; i++) {
-        json_array_append_new(rows, window_json(open->pdata[i], "counting"));
+    GPtrArray *pending = usage_book_pending(u->book);
+    for (guint i = 0; i < pending->len; i++) {
+        json_array_append_new(rows,
+                              window_json(pending->pdata[i], "counting"));
     }
-    g_ptr_array_unref(open);
+    g_ptr_array_unref(pending);
     const gateway_settings_t *s = u->duties->control->settings;
     json_t *root =
         json_pack("{s:b,s:f,s:s,s:o}", "held", u->duties->lease.token != 0,
--- a/carobloomd/gateway/control_link.c
+++ b/carobloomd/gateway/control_link.c
@@ -11,14 +11,14 @@
 
 enum {
     MS = 1000,
-    /* Allowed on top of the time that a poll is held: a round trip between
-     * regions and a busy control instance, which is slower the more entry
-     * instances poll. A poll given up too early is sent again and adds load.
-     */
+    /* Added to the time for which a poll is held: a round trip between
+     * regions, and the delay of a busy control instance, which grows with the
+     * number of entry instances that poll it. A poll that times out too early
+     * is sent again and adds load. */
     ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_TIMEOUT_PER_ENTRY_US = 5 * MS,
     /* Time for the leader to deliver a configuration before another control
-     * instance is polled for it. 100 KB over 10 Mbit/s take a tenth of it. */
+     * instance is polled for it. 100 KB take 80 ms at 10 Mbit/s. */
     DELIVERY_TIMEOUT_US = 800 * MS,
     RETRY_MIN_US = 50 * MS,
     RETRY_MAX_US = 800 * MS,
@@ -38,14 +38,14 @@
 struct control_link {
     entry_t *entry;
     char *address;
-    char *data_centre; /* from its answers; NULL until the first */
+    char *data_centre; /* from the answers; NULL: no answer yet */
     guint source;      /* index in the directory */
     inner_line_t *line;
     guint64 timer;    /* of the next poll */
     gint64 polled_us; /* clock_boot_us of the poll in flight */
     gint64 retry_us;
-    gint64 answered_us; /* clock of the timers; 0: never */
-    gint64 named_us;    /* last listed as a control instance */
+    gint64 answered_us; /* of the last answer, on the timers' clock; 0: none */
+    gint64 listed_us;   /* last listed by a control instance */
     gboolean lost;
     guint64 epoch;
     guint64 cursor;
@@ -109,7 +109,7 @@
         return text_delta_apply(STR(""), answer->delta);
     }
     if (e->config == NULL || e->config->version != answer->base) {
-        return NULL; /* the base changed; the next answer fits */
+        return NULL; /* the next answer has a delta to the present version */
     }
     return text_delta_apply(str_from_bytes(e->text), answer->delta);
 }
@@ -126,9 +126,9 @@
     if (text == NULL) {
         return FALSE;
     }
-    gboolean sound = entry_apply_config(e, answer->version, text);
+    gboolean applied = entry_apply_config(e, answer->version, text);
     g_bytes_unref(text);
-    return sound;
+    return applied;
 }
 
 static control_link_t *
@@ -194,11 +194,11 @@
             return;
         }
         g_ptr_array_add(e->links, link);
-        link->named_us = entry_now(e);
+        link->listed_us = entry_now(e);
         link_poll(link);
     }
     if (link != NULL) {
-        link->named_us = entry_now(e);
+        link->listed_us = entry_now(e);
     }
 }
 
@@ -221,7 +221,7 @@
     gint64 now = entry_now(e);
     for (guint i = e->links->len; i > 0; i--) {
         control_link_t *link = e->links->pdata[i - 1];
-        if (link->lost && now - link->named_us > LOST_LIFETIME_US &&
+        if (link->lost && now - link->listed_us > LOST_LIFETIME_US &&
             now - link->answered_us > LOST_LIFETIME_US) {
             g_ptr_array_remove_index(e->links, i - 1);
             link_destroy(link);
@@ -233,8 +233,8 @@
 static void
 record_version(entry_t *e, guint64 version)
 {
-    guint64 here = e->config != NULL ? e->config->version : 0;
-    if (version > here && e->newer_config_since_us == 0) {
+    guint64 known_version = e->config != NULL ? e->config->version : 0;
+    if (version > known_version && e->newer_config_since_us == 0) {
         e->newer_config_since_us = entry_now(e);
     }
 }
@@ -244,9 +244,9 @@
 static gint64
 earliest_written_us(const control_link_t *link)
 {
-    gint64 since_us = clock_boot_us() - link->polled_us;
+    gint64 elapsed_us = clock_boot_us() - link->polled_us;
     gint64 held_us = inner_line_held_ms(link->line) * (gint64)MS;
-    return link->polled_us + CLAMP(held_us, 0, since_us);
+    return link->polled_us + CLAMP(held_us, 0, elapsed_us);
 }
 
 static void
@@ -278,8 +278,8 @@
     g_free(link->data_centre);
     link->data_centre = g_strdup(answer->data_centre);
     traffic_set_data_centre(e->traffic, link->address, answer->data_centre);
-    gboolean sound = apply_config(link, answer);
-    if (sound && answer->confirmed && e->config != NULL &&
+    gboolean applied = apply_config(link, answer);
+    if (applied && answer->confirmed && e->config != NULL &&
         e->config->version >= answer->version) {
         entry_record_confirmation(e, earliest_written_us(link));
     }
@@ -317,7 +317,8 @@
 static void
 on_failed(void *user)
 {
-    link_failed(user); /* polls are idempotent */
+    /* Polls are idempotent, so a failed poll may be sent again. */
+    link_failed(user);
 }
 
 static const inner_line_ops_t LINK_OPS = {.answered = on_answered,
--- a/carobloomd/gateway/crash_link.c
+++ b/carobloomd/gateway/crash_link.c
@@ -1,5 +1,5 @@
 /* Reports ends of endpoints to every control instance, and applies the
- * quarantine orders that these send. */
+ * quarantine orders from the control instances. */
 #include <string.h>
 
 #include "carobloom/common/counters.h"
@@ -18,7 +18,7 @@
      * have 8 KB at most, so each control instance gets at most 40 KB/s while
      * endpoints end continuously. A single report is sent at once. */
     REPORT_INTERVAL_US = 200 * MS,
-    /* After this time the report is sent again. */
+    /* A report without an answer is sent again after this time. */
     ANSWER_TIMEOUT_US = 700 * MS,
     ANSWER_MAX = 1024, /* bytes; the answer has no body */
     RETRY_MIN_US = 100 * MS,
@@ -38,7 +38,7 @@
     guint64 number; /* in the order of recording, from 1 */
     gint64 recorded_us;
     endpoint_end_t end; /* `endpoint` is NULL for an answered request */
-    guint64 answered;
+    guint64 answered;   /* fingerprint of the answered request */
 } crash_record_t;
 
 /* Sends the records to one control instance. */
@@ -115,14 +115,14 @@
 
 /* ---- one control instance ---- */
 
-static void sender_due(void *data);
+static void sender_on_timer(void *data);
 
 static void
-sender_wait(crash_sender_t *s, gint64 us)
+sender_schedule(crash_sender_t *s, gint64 us)
 {
     timers_t *timers = s->link->entry->timers;
     timers_cancel(timers, s->timer);
-    s->timer = timers_subscribe(timers, us, 0, sender_due, s);
+    s->timer = timers_subscribe(timers, us, 0, sender_on_timer, s);
 }
 
 static void
@@ -130,7 +130,7 @@
 {
     s->retry_us = CLAMP(s->retry_us * 2, RETRY_MIN_US, RETRY_MAX_US);
     counter_add(counter_get("crash_reports_failed_total", NULL, FALSE), 1);
-    sender_wait(s, s->retry_us);
+    sender_schedule(s, s->retry_us);
 }
 
 static void
@@ -144,7 +144,7 @@
     }
     s->retry_us = 0;
     s->acknowledged = MAX(s->acknowledged, s->sending);
-    sender_wait(s, REPORT_INTERVAL_US);
+    sender_schedule(s, REPORT_INTERVAL_US);
 }
 
 static void
@@ -180,7 +180,7 @@
 }
 
 static void
-sender_due(void *data)
+sender_on_timer(void *data)
 {
     crash_sender_t *s = data;
     s->timer = 0;
@@ -188,13 +188,13 @@
     sender_report(s);
 }
 
-/* Reports at once unless the sender pauses, retries or waits for an answer;
- * then its timer sends the next report. */
+/* Schedules a report to be sent at once, unless one is already scheduled or
+ * in flight. */
 static void
-sender_wake(crash_sender_t *s)
+sender_report_soon(crash_sender_t *s)
 {
     if (s->timer == 0 && !inner_line_is_busy(s->line)) {
-        sender_wait(s, 0);
+        sender_schedule(s, 0);
     }
 }
 
@@ -252,7 +252,7 @@
     gpointer sender;
     g_hash_table_iter_init(&iter, link->senders);
     while (g_hash_table_iter_next(&iter, NULL, &sender)) {
-        sender_wake(sender);
+        sender_report_soon(sender);
     }
 }
 
@@ -291,7 +291,7 @@
     s->epoch = epoch; /* restarted: all records are reported again */
     s->acknowledged = 0;
     s->sending = 0;
-    sender_wake(s);
+    sender_report_soon(s);
 }
 
 void
