--- a/carobloomd/gateway/load_link.c
+++ b/carobloomd/gateway/load_link.c
@@ -253,7 +253,7 @@
 load_link_dump(const load_link_t *link, GString *text)
 {
     g_string_append_printf(
-        text, "loads reported to %s, received %ld ms ago\n",
+        text, "loads reported to %s, told %ld ms ago\n",
         link->address != NULL ? link->address : "none",
         (long)((entry_now(link->entry) - link->entry->loads_received_us) /
                MS));
